--- a/crates/larkspring-core/src/fleet/attempt.rs
+++ b/crates/larkspring-core/src/fleet/attempt.rs
@@ -69,7 +69,7 @@
     }
 }
 
-/// Decides the next step; `repeat` takes one retry from the shared retry budget.
+/// Decides the next step; `take_retry` takes one retry from the shared retry budget.
 ///
 /// `history` includes the attempt that ended.
 pub fn next(
@@ -77,7 +77,7 @@
     end: AttemptEnd,
     history: History,
     max_endpoints: u32,
-    repeat: impl FnOnce() -> bool,
+    take_retry: impl FnOnce() -> bool,
 ) -> Next {
     let may_have_run = history.may_have_run || end.may_have_run();
     let allowed = !may_have_run || class.may_run_again();
@@ -89,14 +89,14 @@
     if !allowed || history.attempts >= MAX_ATTEMPTS {
         return give_up;
     }
-    let wanted = match end {
+    let next_step = match end {
         AttemptEnd::Unsent | AttemptEnd::Moved => Next::Elsewhere,
         AttemptEnd::Lacking => Next::Same,
         _ if history.endpoints < max_endpoints => Next::Elsewhere,
         _ => return give_up,
     };
-    if end.arrived() && !repeat() {
+    if end.arrived() && !take_retry() {
         return give_up;
     }
-    wanted
+    next_step
 }
--- a/crates/larkspring-core/src/fleet/availability.rs
+++ b/crates/larkspring-core/src/fleet/availability.rs
@@ -15,16 +15,16 @@
     /// Start of the run, as the platform lists it.
     start: Option<StartMs>,
     /// When the run was first known to be draining.
-    leaving_since: Option<Instant>,
-    rest: Option<Rest>,
+    draining_since: Option<Instant>,
+    backoff: Option<Backoff>,
     /// The advertised rate limit, for all VMs together.
     rate: Option<RateLimit>,
 }
 
 /// An interval during which an endpoint asked this VM to send no requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Rest {
-    asked_at: Instant,
+struct Backoff {
+    received_at: Instant,
     until: Instant,
 }
 
@@ -53,10 +53,10 @@
 /// The longest backoff that is applied, so that an endpoint that asks for a year by
 /// mistake is tried again after an hour. During a longer backoff the endpoint gets one
 /// request an hour; up to two requests may reach an endpoint during any backoff.
-pub const MAX_REST: Duration = Duration::from_secs(3600);
+pub const MAX_BACKOFF: Duration = Duration::from_secs(3600);
 /// Part of the backoff over which VMs spread their return. Otherwise all of them would
 /// send their withheld requests at once.
-const SPREAD: f64 = 0.1;
+const BACKOFF_SPREAD: f64 = 0.1;
 
 impl Notice {
     /// The notice of a draining endpoint.
@@ -106,13 +106,14 @@
         let before = *self;
         self.rate = RateLimit::heard(self.rate, now, asked, notice.rate);
         if notice.leaving {
-            self.leaving_since.get_or_insert(now);
+            self.draining_since.get_or_insert(now);
         }
-        if let Some(rest) = notice.rest.filter(|rest| !rest.is_zero()) {
-            let rest = rest.min(MAX_REST);
-            let until = now + rest + rest.mul_f64(SPREAD * share.clamp(0.0, 1.0));
-            if self.rest.is_none_or(|known| until > known.until) {
-                self.rest = Some(Rest { asked_at: now, until });
+        if let Some(backoff) = notice.rest.filter(|backoff| !backoff.is_zero()) {
+            let backoff = backoff.min(MAX_BACKOFF);
+            let until =
+                now + backoff + backoff.mul_f64(BACKOFF_SPREAD * share.clamp(0.0, 1.0));
+            if self.backoff.is_none_or(|known| until > known.until) {
+                self.backoff = Some(Backoff { received_at: now, until });
             }
         }
         News {
@@ -138,19 +139,19 @@
     /// Records that another run of the same name began no later than `since`. Notices
     /// received before do not apply to that run.
     pub fn renewed(&mut self, since: Instant) {
-        self.leaving_since = self.leaving_since.filter(|at| *at >= since);
-        self.rest = self.rest.filter(|rest| rest.asked_at >= since);
+        self.draining_since = self.draining_since.filter(|at| *at >= since);
+        self.backoff = self.backoff.filter(|backoff| backoff.received_at >= since);
         self.rate = self.rate.filter(|rate| rate.told_at() >= since);
     }
 
     /// Whether the run is draining.
     pub fn leaves(&self) -> bool {
-        self.leaving_since.is_some()
+        self.draining_since.is_some()
     }
 
     /// The remaining backoff; `None` if the endpoint accepts requests.
     pub fn rests_for(&self, now: Instant) -> Option<Duration> {
-        let left = self.rest?.until.checked_duration_since(now)?;
+        let left = self.backoff?.until.checked_duration_since(now)?;
         (!left.is_zero()).then_some(left)
     }
 
@@ -171,6 +172,6 @@
 
     /// Whether no notice of the run is recorded.
     pub fn is_silent(&self) -> bool {
-        self.leaving_since.is_none() && self.rest.is_none() && self.rate.is_none()
+        self.draining_since.is_none() && self.backoff.is_none() && self.rate.is_none()
     }
 }
--- a/crates/larkspring-core/src/fleet/choose.rs
+++ b/crates/larkspring-core/src/fleet/choose.rs
@@ -73,42 +73,42 @@
 
 /// Cost of sending to another hall: traffic between halls is charged. By the deployments'
 /// price lists, a short request costs about a thirtieth of the value of its answer.
-const CROSSING_MS: f64 = 25.0;
+const OTHER_HALL_MS: f64 = 25.0;
 /// Time to load an adapter from a weight store that is not busy: 250 to 270 ms.
 const LOAD_MS: f64 = 260.0;
 /// Price of a fetch: a little less than half of the value of a short answer. Waiting this
 /// much longer for an endpoint that needs no fetch pays off.
 const FETCH_MS: f64 = 150.0;
 /// Tokens of a short prompt, the reference for [`FETCH_MS`].
-const SHORT_PROMPT: f64 = 700.0;
+const SHORT_PROMPT_TOKENS: f64 = 700.0;
 /// Time to load an adapter from the memory of the engine's VM (27 to 35 ms), doubled to
 /// account for the adapter that is evicted.
-const COPIED_MS: f64 = 60.0;
+const HOST_COPY_LOAD_MS: f64 = 60.0;
 /// Mean remaining time of a base model load: half of its duration. Kept below the cost of
 /// a few more adapters at another endpoint, so that requests wait for their home
 /// endpoint.
-const FILLING_MS: f64 = 150.0;
+const BASE_LOAD_REMAINING_MS: f64 = 150.0;
 /// Mean remaining time of an adapter load: half of its duration.
-const LOADING_MS: f64 = 130.0;
+const LOAD_REMAINING_MS: f64 = 130.0;
 /// Cost of each load ahead, which shares the store and the endpoint's link.
 const LOAD_AHEAD_MS: f64 = 60.0;
 /// Wait until a running request frees an adapter slot: about half of a typical answer.
-const NO_PLACE_MS: f64 = 300.0;
+const NO_FREE_SLOT_MS: f64 = 300.0;
 /// Cost of each step in the adapter's rendezvous ranking, so that entries without load
 /// information choose the same endpoint.
 const RANK_MS: f64 = 40.0;
 /// Total slowdown that each request in the batch causes to the others.
 const RUNNING_MS: f64 = 1.5;
 /// Prefill time of a typical request, of about 600 tokens.
-const OTHER_READ_MS: f64 = 15.0;
+const TYPICAL_PREFILL_MS: f64 = 15.0;
 /// Duration of a typical answer of a model engine, the interval at which each slot of a
 /// full batch becomes free.
 const ANSWER_MS: f64 = 450.0;
 /// Prefill time of one prompt token.
-const TOKEN_MS: f64 = 1.0 / TOKENS_PER_MS;
+const PREFILL_TOKEN_MS: f64 = 1.0 / TOKENS_PER_MS;
 /// Cost of a load at a rate-limited endpoint, which may refuse the request after the
 /// load, so that the adapter is fetched again elsewhere.
-const RATED_LOAD_MS: f64 = 1_000.0;
+const RATE_LIMITED_LOAD_MS: f64 = 1_000.0;
 /// Cost of an endpoint with a recent connection failure: chosen only if all endpoints
 /// have one.
 const AVOIDED_MS: f64 = 10_000.0;
@@ -118,34 +118,34 @@
 /// Chooses the endpoint for a request that needs an adapter; `None` if no endpoint can
 /// serve it. `views` is in the order of [`ranked`].
 pub fn for_adapter(views: &[View], without: Without) -> Option<usize> {
-    let fit = |v: &View| v.holding == Holding::Resident || v.can_load;
+    let can_serve = |v: &View| v.holding == Holding::Resident || v.can_load;
     let ranks = without.uses(Mechanism::HomeRank);
     let cost = |rank: usize, v: &View| adapter_cost(if ranks { rank } else { 0 }, v);
-    least(views, fit, cost)
+    least_cost(views, can_serve, cost)
 }
 
 /// Chooses the endpoint for a request that any endpoint can run; `None` if there is none.
 pub fn for_any(views: &[View], answer_time: Duration) -> Option<usize> {
     let per_request = answer_time.as_secs_f64() * 1000.0;
-    least(views, |_| true, |_, v| common_cost(v) + waiting_cost(v, per_request))
+    least_cost(views, |_| true, |_, v| common_cost(v) + queue_cost(v, per_request))
 }
 
 /// Expected queueing time at a plain service.
-fn waiting_cost(v: &View, per_request: f64) -> f64 {
+fn queue_cost(v: &View, per_request: f64) -> f64 {
     f64::from(v.running) * per_request / f64::from(v.slots.max(1))
 }
 
 fn adapter_cost(rank: usize, v: &View) -> f64 {
-    let home = RANK_MS * rank.min(MAX_RANK) as f64;
+    let rank_cost = RANK_MS * rank.min(MAX_RANK) as f64;
     let load = match v.holding {
         Holding::Resident => 0.0,
-        Holding::Loading => LOADING_MS,
-        Holding::Copied => COPIED_MS + turn_cost(v),
-        Holding::Absent => LOAD_MS + fetch_cost(v) + home + turn_cost(v),
+        Holding::Loading => LOAD_REMAINING_MS,
+        Holding::Copied => HOST_COPY_LOAD_MS + load_wait_cost(v),
+        Holding::Absent => LOAD_MS + fetch_cost(v) + rank_cost + load_wait_cost(v),
     };
     let rated = match v.holding {
         Holding::Resident => 0.0,
-        _ if v.rated => RATED_LOAD_MS,
+        _ if v.rated => RATE_LIMITED_LOAD_MS,
         _ => 0.0,
     };
     common_cost(v) + load + rated + batch_cost(v)
@@ -154,42 +154,44 @@
 /// Price of a fetch in proportion to the value of the answer, which is higher for longer
 /// prompts.
 fn fetch_cost(v: &View) -> f64 {
-    FETCH_MS * (SHORT_PROMPT / f64::from(v.prompt_tokens.max(1))).min(1.0)
+    FETCH_MS * (SHORT_PROMPT_TOKENS / f64::from(v.prompt_tokens.max(1))).min(1.0)
 }
 
 /// Wait until a load would begin.
-fn turn_cost(v: &View) -> f64 {
+fn load_wait_cost(v: &View) -> f64 {
     let ahead = LOAD_AHEAD_MS * f64::from(v.loads_ahead);
-    let place = if v.free_places == 0 { NO_PLACE_MS } else { 0.0 };
-    let filling = if v.filling { FILLING_MS } else { 0.0 };
-    ahead + place + filling
+    let slot_wait = if v.free_places == 0 { NO_FREE_SLOT_MS } else { 0.0 };
+    let base_load = if v.filling { BASE_LOAD_REMAINING_MS } else { 0.0 };
+    ahead + slot_wait + base_load
 }
 
 /// Cost of adding the request to the endpoint's batch.
 pub fn batch_cost(v: &View) -> f64 {
-    let over = (v.running + 1).saturating_sub(v.slots);
-    let queue = f64::from(over) * ANSWER_MS / f64::from(v.slots.max(1));
+    let excess = (v.running + 1).saturating_sub(v.slots);
+    let queue = f64::from(excess) * ANSWER_MS / f64::from(v.slots.max(1));
     // Requests that end during the prefill are replaced by others, which need prefill
     // too.
-    let follow = f64::from(v.prompt_tokens) * TOKEN_MS / ANSWER_MS;
-    let reading = f64::from(v.reading) * TOKEN_MS;
-    reading + queue + f64::from(v.running) * (RUNNING_MS + follow * OTHER_READ_MS)
+    let replacements = f64::from(v.prompt_tokens) * PREFILL_TOKEN_MS / ANSWER_MS;
+    let backlog = f64::from(v.reading) * PREFILL_TOKEN_MS;
+    backlog
+        + queue
+        + f64::from(v.running) * (RUNNING_MS + replacements * TYPICAL_PREFILL_MS)
 }
 
 fn common_cost(v: &View) -> f64 {
-    let crossing = if v.same_hall { 0.0 } else { CROSSING_MS };
+    let other_hall = if v.same_hall { 0.0 } else { OTHER_HALL_MS };
     let avoided = if v.avoided { AVOIDED_MS } else { 0.0 };
     let quality = v.quality.as_secs_f64() * 1000.0;
-    crossing + avoided + quality + f64::from(v.prompt_tokens) * TOKEN_MS
+    other_hall + avoided + quality + f64::from(v.prompt_tokens) * PREFILL_TOKEN_MS
 }
 
-fn least(
+fn least_cost(
     views: &[View],
-    fit: impl Fn(&View) -> bool,
+    can_serve: impl Fn(&View) -> bool,
     cost: impl Fn(usize, &View) -> f64,
 ) -> Option<usize> {
-    let open = views.iter().enumerate().filter(|(_, v)| fit(v));
-    let costs = open.map(|(rank, v)| (cost(rank, v), rank));
+    let candidates = views.iter().enumerate().filter(|(_, v)| can_serve(v));
+    let costs = candidates.map(|(rank, v)| (cost(rank, v), rank));
     costs.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1))).map(|(_, at)| at)
 }
 
@@ -215,7 +217,7 @@
 /// A load costs about as much as thirteen requests to another hall, and demand for an
 /// adapter lasts about ten seconds.
 pub fn copy_pays(rate_in_hall: f64) -> bool {
-    const CROSSINGS_A_LOAD: f64 = 13.0;
-    const LASTS: Duration = Duration::from_secs(10);
-    rate_in_hall * LASTS.as_secs_f64() > CROSSINGS_A_LOAD
+    const CROSSINGS_PER_LOAD: f64 = 13.0;
+    const DEMAND_LIFETIME: Duration = Duration::from_secs(10);
+    rate_in_hall * DEMAND_LIFETIME.as_secs_f64() > CROSSINGS_PER_LOAD
 }
--- a/crates/larkspring-core/src/fleet/demand.rs
+++ b/crates/larkspring-core/src/fleet/demand.rs
@@ -7,11 +7,11 @@
 /// Recent requests, counted by key.
 #[derive(Debug)]
 pub struct Demand<K> {
-    seen: HashMap<K, Seen>,
+    counts: HashMap<K, Count>,
 }
 
 #[derive(Debug)]
-struct Seen {
+struct Count {
     weight: f64,
     at: Instant,
 }
@@ -19,36 +19,36 @@
 /// Half-life of the counts. Short, as the popularity of adapters changes within seconds.
 const HALF_LIFE: Duration = Duration::from_secs(3);
 /// Maximum number of keys, which bounds memory with 49,000 adapters.
-const MAX_SEEN: usize = 4096;
+const MAX_KEYS: usize = 4096;
 /// Weight below which a key is dropped when there are too many.
-const FORGOTTEN: f64 = 0.25;
+const MIN_WEIGHT: f64 = 0.25;
 
 impl<K> Default for Demand<K> {
     fn default() -> Self {
-        Self { seen: HashMap::new() }
+        Self { counts: HashMap::new() }
     }
 }
 
 impl<K: Eq + Hash + Clone> Demand<K> {
     /// Counts a request and returns the recent rate for its key, in requests a second.
     pub fn count(&mut self, now: Instant, key: &K) -> f64 {
-        if self.seen.len() >= MAX_SEEN {
-            self.seen.retain(|_, seen| seen.weight_at(now) >= FORGOTTEN);
+        if self.counts.len() >= MAX_KEYS {
+            self.counts.retain(|_, count| count.weight_at(now) >= MIN_WEIGHT);
         }
-        let fresh = || Seen { weight: 0.0, at: now };
-        let seen = self.seen.entry(key.clone()).or_insert_with(fresh);
-        seen.weight = seen.weight_at(now) + 1.0;
-        seen.at = now;
-        rate(seen.weight)
+        let new = || Count { weight: 0.0, at: now };
+        let entry = self.counts.entry(key.clone()).or_insert_with(new);
+        entry.weight = entry.weight_at(now) + 1.0;
+        entry.at = now;
+        rate(entry.weight)
     }
 
     /// Returns the recent rate for a key, in requests a second.
     pub fn rate(&self, now: Instant, key: &K) -> f64 {
-        self.seen.get(key).map_or(0.0, |seen| rate(seen.weight_at(now)))
+        self.counts.get(key).map_or(0.0, |count| rate(count.weight_at(now)))
     }
 }
 
-impl Seen {
+impl Count {
     fn weight_at(&self, now: Instant) -> f64 {
         let age = now.saturating_duration_since(self.at);
         self.weight * 0.5_f64.powf(age.as_secs_f64() / HALF_LIFE.as_secs_f64())
--- a/crates/larkspring-core/src/fleet/members.rs
+++ b/crates/larkspring-core/src/fleet/members.rs
@@ -18,18 +18,18 @@
 pub struct Members {
     listed: HashMap<Incarnation, Member>,
     /// The last runs that ended.
-    ended: HashMap<Incarnation, Ended>,
-    ends: u64,
+    ended: HashMap<Incarnation, EndedRun>,
+    ended_count: u64,
     /// The epoch of the last read.
     epoch: Option<StoreEpoch>,
     /// The point at which reading began after the store was restored from a copy. Entries
     /// written before may be outdated.
-    restored: Option<StorePoint>,
+    restored_at: Option<StorePoint>,
 }
 
 /// A run that ended.
 #[derive(Debug)]
-struct Ended {
+struct EndedRun {
     start: Option<StartMs>,
     /// Sequence number of the end, by which the oldest one is dropped.
     number: u64,
@@ -63,7 +63,7 @@
 struct Member {
     endpoint: Arc<Endpoint>,
     /// When an endpoint that is missing after an outage is removed.
-    lapses_at: Option<Instant>,
+    expires_at: Option<Instant>,
 }
 
 impl Endpoint {
@@ -97,7 +97,7 @@
         let before = self.epoch.replace(at.epoch());
         let is_restored = before.is_some_and(|epoch| epoch != at.epoch());
         if is_restored {
-            self.restored = Some(at);
+            self.restored_at = Some(at);
         }
         is_restored
     }
@@ -109,7 +109,7 @@
     /// nor a run older than the known one, and does not show a draining endpoint as
     /// ready.
     pub fn put(&mut self, mut endpoint: Endpoint, written: StorePoint) -> bool {
-        let is_copied = self.restored.is_some_and(|at| written <= at);
+        let is_copied = self.restored_at.is_some_and(|at| written <= at);
         let ended = self.ended.get(&endpoint.id);
         let has_ended = ended.is_some_and(|ended| endpoint.start <= ended.start);
         let listed = self.listed.get(&endpoint.id);
@@ -119,7 +119,7 @@
         }
         self.ended.remove(&endpoint.id);
         if let Some(known) = self.listed.get_mut(&endpoint.id) {
-            known.lapses_at = None;
+            known.expires_at = None;
             let is_same_run = known.endpoint.start == endpoint.start;
             endpoint.leaving |= is_copied && is_same_run && known.endpoint.leaving;
             if *known.endpoint == endpoint {
@@ -129,7 +129,7 @@
             return true;
         }
         let id = endpoint.id.clone();
-        let member = Member { endpoint: Arc::new(endpoint), lapses_at: None };
+        let member = Member { endpoint: Arc::new(endpoint), expires_at: None };
         self.listed.insert(id, member);
         true
     }
@@ -139,7 +139,7 @@
     pub fn remove(&mut self, id: &Incarnation, keep_until: Option<Instant>) {
         match (keep_until, self.listed.get_mut(id)) {
             (Some(until), Some(member)) if !member.endpoint.leaving => {
-                member.lapses_at.get_or_insert(until);
+                member.expires_at.get_or_insert(until);
             }
             (_, Some(_)) => self.end(id),
             (_, None) => {}
@@ -166,7 +166,7 @@
 
     /// Removes the endpoints whose grace period is over. Returns whether there were any.
     pub fn expire(&mut self, now: Instant) -> bool {
-        let is_over = |m: &Member| m.lapses_at.is_some_and(|at| at <= now);
+        let is_over = |m: &Member| m.expires_at.is_some_and(|at| at <= now);
         let over = self.listed.iter().filter(|(_, m)| is_over(m));
         let over: Vec<_> = over.map(|(id, _)| id.clone()).collect();
         over.iter().for_each(|id| self.end(id));
@@ -175,7 +175,7 @@
 
     /// When [`Members::expire`] will next remove an endpoint.
     pub fn next_expiry(&self) -> Option<Instant> {
-        self.listed.values().filter_map(|m| m.lapses_at).min()
+        self.listed.values().filter_map(|m| m.expires_at).min()
     }
 
     fn end(&mut self, id: &Incarnation) {
@@ -185,8 +185,8 @@
             let first = first.map(|(id, _)| id.clone());
             first.and_then(|id| self.ended.remove(&id));
         }
-        self.ends += 1;
-        let ended = Ended { start: member.endpoint.start, number: self.ends };
+        self.ended_count += 1;
+        let ended = EndedRun { start: member.endpoint.start, number: self.ended_count };
         self.ended.insert(id.clone(), ended);
     }
 
--- a/crates/larkspring-core/src/fleet/mod.rs
+++ b/crates/larkspring-core/src/fleet/mod.rs
@@ -13,7 +13,7 @@
 //! 11. [`urgency`]: the order in which an engine prefills waiting prompts.
 //! 12. [`availability`]: whether an endpoint accepts requests, according to its answers.
 //! 13. [`rate`]: the request rate that an endpoint accepts from all VMs together,
-//!    according to its answers.
+//!     according to its answers.
 //! 14. [`permits`]: the distribution of that rate over the requests of all VMs.
 //! 15. [`reads`]: the timing of reads of the declared state.
 //!
--- a/crates/larkspring-core/src/fleet/permits.rs
+++ b/crates/larkspring-core/src/fleet/permits.rs
@@ -64,9 +64,9 @@
 struct Bucket {
     rate: Rate,
     /// When an answer of the run advertised the rate.
-    told: Instant,
+    advertised_at: Instant,
     permits: f64,
-    filled: Instant,
+    refilled_at: Instant,
 }
 
 /// How long a permit is valid: a few times the duration of a connection set-up. Unused
@@ -77,22 +77,22 @@
 pub const ANSWER: Duration = Duration::from_millis(80);
 /// Bucket sizes of the primary issuer and of the others, so that an endpoint is used at
 /// its full rate although requests arrive unevenly.
-const SAVED: f64 = 2.0;
-const SAVED_ELSEWHERE: f64 = 1.0;
+const PRIMARY_BUCKET_SIZE: f64 = 2.0;
+const OTHER_BUCKET_SIZE: f64 = 1.0;
 /// Part of the rate that the secondary issuer grants.
-const SECOND_PART: f64 = 0.3;
+const SECONDARY_RATE_FRACTION: f64 = 0.3;
 /// Part of the rate that an entry grants itself, as it does not know the number of other
 /// entries.
-const ALONE_PART: f64 = 1.0 / 64.0;
+const SELF_ISSUED_RATE_FRACTION: f64 = 1.0 / 64.0;
 /// Lowest rate that the primary issuer grants, in requests a second. An endpoint that
 /// advertises nearly zero still gets occasional requests, or a raised rate would go
 /// unnoticed.
-const PROBED: f64 = 0.25;
+const MIN_PRIMARY_RATE_PER_SEC: f64 = 0.25;
 /// Longest denial: the rate may rise, or an issuer may recover.
-const DENIED_MOST: Duration = Duration::from_secs(2);
+const MAX_DENIAL: Duration = Duration::from_secs(2);
 /// Maximum number of runs that are kept, and the idle time after which a run is dropped.
 const MAX_RUNS: usize = 16 * 1024;
-const FORGOTTEN: Duration = Duration::from_secs(30);
+const RUN_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Returns the hash of a run's name.
 pub fn run_hash(run: &str) -> RunHash {
@@ -104,7 +104,7 @@
     pub fn ask(&mut self, now: Instant, ask: &Ask) -> Verdict {
         self.told(now, ask.run, ask.rate, ask.age);
         let Some(bucket) = self.buckets.get_mut(&ask.run) else {
-            return Verdict::Denied(DENIED_MOST);
+            return Verdict::Denied(MAX_DENIAL);
         };
         bucket.take(now, ask.home)
     }
@@ -114,43 +114,48 @@
     /// differences.
     pub fn told(&mut self, now: Instant, run: RunHash, rate: Rate, age: Duration) {
         if self.buckets.len() >= MAX_RUNS {
-            let since = |b: &Bucket| now.saturating_duration_since(b.filled);
-            self.buckets.retain(|_, bucket| since(bucket) < FORGOTTEN);
+            let since = |b: &Bucket| now.saturating_duration_since(b.refilled_at);
+            self.buckets.retain(|_, bucket| since(bucket) < RUN_IDLE_TIMEOUT);
         }
-        let told = now.checked_sub(age).unwrap_or(now);
+        let advertised_at = now.checked_sub(age).unwrap_or(now);
         let bucket = self.buckets.entry(run).or_insert(Bucket {
             rate,
-            told,
+            advertised_at,
             // Starts empty, as recent grants of another issuer are not known here.
             permits: 0.0,
-            filled: now,
+            refilled_at: now,
         });
-        let newer = told > bucket.told;
-        let lower = rate < bucket.rate && told + ANSWER > bucket.told;
+        let newer = advertised_at > bucket.advertised_at;
+        let lower = rate < bucket.rate && advertised_at + ANSWER > bucket.advertised_at;
         if newer || lower {
             bucket.rate = rate;
-            bucket.told = told.max(bucket.told);
+            bucket.advertised_at = advertised_at.max(bucket.advertised_at);
         }
     }
 }
 
 impl Bucket {
     fn take(&mut self, now: Instant, home: Home) -> Verdict {
-        let named = self.rate.as_per_sec();
-        let (per_sec, most) = match home {
-            Home::First => (named.max(PROBED), SAVED),
-            Home::Second => (named * SECOND_PART, SAVED_ELSEWHERE),
-            Home::Alone => (named.max(PROBED) * ALONE_PART, SAVED_ELSEWHERE),
+        let advertised = self.rate.as_per_sec();
+        let (per_sec, bucket_size) = match home {
+            Home::First => {
+                (advertised.max(MIN_PRIMARY_RATE_PER_SEC), PRIMARY_BUCKET_SIZE)
+            }
+            Home::Second => (advertised * SECONDARY_RATE_FRACTION, OTHER_BUCKET_SIZE),
+            Home::Alone => (
+                advertised.max(MIN_PRIMARY_RATE_PER_SEC) * SELF_ISSUED_RATE_FRACTION,
+                OTHER_BUCKET_SIZE,
+            ),
         };
-        let since = now.saturating_duration_since(self.filled).as_secs_f64();
-        self.permits = (self.permits + since * per_sec).min(most);
-        self.filled = now;
+        let since = now.saturating_duration_since(self.refilled_at).as_secs_f64();
+        self.permits = (self.permits + since * per_sec).min(bucket_size);
+        self.refilled_at = now;
         if self.permits >= 1.0 {
             self.permits -= 1.0;
             return Verdict::Granted;
         }
         let wait = (1.0 - self.permits) / per_sec;
-        let wait = Duration::try_from_secs_f64(wait).unwrap_or(DENIED_MOST);
-        Verdict::Denied(wait.min(DENIED_MOST))
+        let wait = Duration::try_from_secs_f64(wait).unwrap_or(MAX_DENIAL);
+        Verdict::Denied(wait.min(MAX_DENIAL))
     }
 }
--- a/crates/larkspring-core/src/fleet/quality.rs
+++ b/crates/larkspring-core/src/fleet/quality.rs
@@ -5,13 +5,13 @@
 /// Recent failures and response times of one endpoint, as seen by one entry.
 #[derive(Debug, Clone, Copy)]
 pub struct Quality {
-    failed: f64,
-    counted: f64,
+    failures: f64,
+    answers: f64,
     at: Instant,
     time: Duration,
     avoid_until: Option<Instant>,
     /// Consecutive failed connection attempts.
-    unreachable: u32,
+    failed_connections: u32,
 }
 
 /// Half-life of the counts, so that an endpoint that recovered gets requests again within
@@ -19,35 +19,35 @@
 const HALF_LIFE: Duration = Duration::from_secs(2);
 /// Number of successful answers assumed for an endpoint without history, so that one
 /// failure among few answers does not exclude the endpoint.
-const PRIOR_ANSWERS: f64 = 4.0;
+const PRIOR_SUCCESSES: f64 = 4.0;
 /// Cost of a failure, as time: most of the time that a caller of a plain service would
 /// wait.
 const FAILURE_COST: Duration = Duration::from_millis(600);
 /// Weight of a new sample in the moving average of the response time.
 const SAMPLE_WEIGHT: f64 = 0.1;
 /// Time for which an endpoint is avoided after the first failed connection attempt.
-const AVOID_FIRST: Duration = Duration::from_millis(300);
+const INITIAL_AVOIDANCE: Duration = Duration::from_millis(300);
 /// Longest time for which an endpoint is avoided.
-const AVOID_MOST: Duration = Duration::from_secs(2);
+const MAX_AVOIDANCE: Duration = Duration::from_secs(2);
 
 impl Quality {
     /// Creates the record of an endpoint without history.
     pub fn new(now: Instant) -> Self {
         Self {
-            failed: 0.0,
-            counted: 0.0,
+            failures: 0.0,
+            answers: 0.0,
             at: now,
             time: Duration::ZERO,
             avoid_until: None,
-            unreachable: 0,
+            failed_connections: 0,
         }
     }
 
     /// Records a successful answer with `time` to the first byte.
     pub fn good(&mut self, now: Instant, time: Duration) {
         self.decay(now);
-        self.counted += 1.0;
-        self.unreachable = 0;
+        self.answers += 1.0;
+        self.failed_connections = 0;
         self.avoid_until = None;
         self.time = match self.time.is_zero() {
             true => time,
@@ -58,15 +58,15 @@
     /// Records a failure that the endpoint caused.
     pub fn bad(&mut self, now: Instant) {
         self.decay(now);
-        self.counted += 1.0;
-        self.failed += 1.0;
+        self.answers += 1.0;
+        self.failures += 1.0;
     }
 
     /// Records a failed connection attempt.
     pub fn no_connection(&mut self, now: Instant) {
-        let wait = AVOID_FIRST.saturating_mul(1 << self.unreachable.min(8));
-        self.unreachable += 1;
-        self.avoid_until = Some(now + wait.min(AVOID_MOST));
+        let wait = INITIAL_AVOIDANCE.saturating_mul(1 << self.failed_connections.min(8));
+        self.failed_connections += 1;
+        self.avoid_until = Some(now + wait.min(MAX_AVOIDANCE));
     }
 
     /// Whether the endpoint is avoided while other endpoints are available.
@@ -76,8 +76,8 @@
 
     /// Fraction of the recent answers that were failures.
     pub fn failure_share(&self, now: Instant) -> f64 {
-        let kept = self.kept(now);
-        self.failed * kept / (self.counted * kept + PRIOR_ANSWERS)
+        let decay_factor = self.decay_factor(now);
+        self.failures * decay_factor / (self.answers * decay_factor + PRIOR_SUCCESSES)
     }
 
     /// Expected cost of a failure, as time.
@@ -91,13 +91,13 @@
     }
 
     fn decay(&mut self, now: Instant) {
-        let kept = self.kept(now);
-        self.failed *= kept;
-        self.counted *= kept;
+        let decay_factor = self.decay_factor(now);
+        self.failures *= decay_factor;
+        self.answers *= decay_factor;
         self.at = now;
     }
 
-    fn kept(&self, now: Instant) -> f64 {
+    fn decay_factor(&self, now: Instant) -> f64 {
         let age = now.saturating_duration_since(self.at);
         0.5_f64.powf(age.as_secs_f64() / HALF_LIFE.as_secs_f64())
     }
--- a/crates/larkspring-core/src/fleet/rate.rs
+++ b/crates/larkspring-core/src/fleet/rate.rs
@@ -22,21 +22,21 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RateLimit {
     rate: Rate,
-    named_at: Instant,
+    advertised_at: Instant,
     /// When an answer first came without a rate.
     ended_at: Option<Instant>,
 }
 
 /// Interval at which the rate doubles once a limit has ended, so that an endpoint that
 /// just recovered does not receive all withheld requests at once.
-const DOUBLES_EVERY: Duration = Duration::from_millis(500);
+const DOUBLING_INTERVAL: Duration = Duration::from_millis(500);
 /// Time after which an ended limit is dropped, at 64 times its rate.
-const RECOVERED: Duration = Duration::from_secs(3);
+const RECOVERY_TIME: Duration = Duration::from_secs(3);
 /// Rates from this value on count as no limit: no endpoint gets as many requests, so
 /// permits would only add cost.
-const UNBOUND: Rate = Rate::from_millis(10_000_000);
+const MIN_UNLIMITED: Rate = Rate::from_millis(10_000_000);
 /// Lowest initial rate of the growth after a limit has ended, in requests a second.
-const GROWS_FROM: f64 = 1.0;
+const MIN_RECOVERY_RATE_PER_SEC: f64 = 1.0;
 
 impl Rate {
     /// Creates a rate from thousandths of requests a second.
@@ -75,12 +75,12 @@
         asked: Instant,
         word: RateWord,
     ) -> Option<Self> {
-        let newer = known.is_none_or(|known| asked > known.named_at);
+        let newer = known.is_none_or(|known| asked > known.advertised_at);
         match word {
             RateWord::Named(rate) => {
                 let bound = known.filter(|known| !newer && known.ended_at.is_none());
                 let rate = bound.map_or(rate, |known| rate.min(known.rate));
-                Some(Self { rate, named_at: now, ended_at: None })
+                Some(Self { rate, advertised_at: now, ended_at: None })
             }
             RateWord::Silent if newer => known
                 .map(|known| Self { ended_at: known.ended_at.or(Some(now)), ..known }),
@@ -91,19 +91,21 @@
     /// The rate in force at `now`; `None` if the endpoint has no limit.
     pub fn in_force(&self, now: Instant) -> Option<Rate> {
         let Some(ended) = self.ended_at else {
-            return Some(self.rate).filter(|rate| *rate < UNBOUND);
+            return Some(self.rate).filter(|rate| *rate < MIN_UNLIMITED);
         };
         let since = now.saturating_duration_since(ended);
-        if since >= RECOVERED {
+        if since >= RECOVERY_TIME {
             return None;
         }
-        let doubled = since.as_secs_f64() / DOUBLES_EVERY.as_secs_f64();
-        Rate::per_sec(self.rate.as_per_sec().max(GROWS_FROM) * doubled.exp2())
+        let doublings = since.as_secs_f64() / DOUBLING_INTERVAL.as_secs_f64();
+        Rate::per_sec(
+            self.rate.as_per_sec().max(MIN_RECOVERY_RATE_PER_SEC) * doublings.exp2(),
+        )
     }
 
     /// When an answer last advertised the limit or showed that it ended.
     pub fn told_at(&self) -> Instant {
-        self.ended_at.unwrap_or(self.named_at)
+        self.ended_at.unwrap_or(self.advertised_at)
     }
 
     /// The advertised rate, unless the limit has ended.
--- a/crates/larkspring-core/src/fleet/reading.rs
+++ b/crates/larkspring-core/src/fleet/reading.rs
@@ -15,11 +15,11 @@
 
 /// Prefill speed in tokens a millisecond while the engine also decodes: the stated speed
 /// less one step of 5 ms for each 1,024 tokens.
-const TOKENS_PER_MS_SHARED: f64 = 32.0;
+const TOKENS_PER_MS_DECODING: f64 = 32.0;
 
 /// Returns the prefill time of `tokens` at an engine that also decodes.
 pub fn reading_time(tokens: u32) -> Duration {
-    Duration::from_secs_f64(f64::from(tokens) / TOKENS_PER_MS_SHARED / 1000.0)
+    Duration::from_secs_f64(f64::from(tokens) / TOKENS_PER_MS_DECODING / 1000.0)
 }
 
 impl Unread {
@@ -30,17 +30,17 @@
 
     /// Adds a prompt.
     pub fn add(&mut self, now: Instant, tokens: u32) {
-        *self = Self { tokens: self.left(now) + f64::from(tokens), at: now };
+        *self = Self { tokens: self.tokens_left(now) + f64::from(tokens), at: now };
     }
 
     /// Returns the backlog in tokens at `now`.
     pub fn at(&self, now: Instant) -> u32 {
-        self.left(now) as u32
+        self.tokens_left(now) as u32
     }
 
-    fn left(&self, now: Instant) -> f64 {
-        let spent = now.saturating_duration_since(self.at);
-        (self.tokens - millis(spent) * TOKENS_PER_MS).max(0.0)
+    fn tokens_left(&self, now: Instant) -> f64 {
+        let elapsed = now.saturating_duration_since(self.at);
+        (self.tokens - millis(elapsed) * TOKENS_PER_MS).max(0.0)
     }
 }
 
--- a/crates/larkspring-core/src/fleet/reads.rs
+++ b/crates/larkspring-core/src/fleet/reads.rs
@@ -50,39 +50,51 @@
 pub const MAX_AGENTS: usize = 2;
 /// Pause for state that changes rarely, as a fraction of the bound (as are the constants
 /// below), which lets a series of changes arrive in one read.
-const SHORT_PAUSE: f64 = 0.025;
+const RARE_PAUSE_FRACTION: f64 = 0.025;
 /// Longest waits for rare changes: of an entry and an agent that ask the store, and of an
 /// entry that asks an agent.
-const ENTRY_WAIT: f64 = 0.5;
-const AGENT_WAIT: f64 = 0.4;
-const RELAY_WAIT: f64 = 0.25;
+const ENTRY_POLL_FRACTION: f64 = 0.5;
+const AGENT_POLL_FRACTION: f64 = 0.4;
+const RELAY_POLL_FRACTION: f64 = 0.25;
 /// Pauses of an entry and of an agent for state that changes continuously, and the wait
 /// that follows.
-const ENTRY_PAUSE: f64 = 0.5;
-const AGENT_PAUSE: f64 = 0.25;
-const GATHERED_WAIT: f64 = 0.1;
+const ENTRY_PAUSE_FRACTION: f64 = 0.5;
+const AGENT_PAUSE_FRACTION: f64 = 0.25;
+const CONTINUOUS_POLL_FRACTION: f64 = 0.1;
 /// Time for an answer, and for the answer to a complete read after a lost one.
-const ANSWER: f64 = 0.1;
-const LIST_ANSWER: f64 = 0.15;
+const ANSWER_FRACTION: f64 = 0.1;
+const FULL_READ_FRACTION: f64 = 0.15;
 /// Age of an agent's state at which other agents are asked: more than the agent's pause
 /// and wait.
-const OLDEST: f64 = 0.5;
+const MAX_AGE_FRACTION: f64 = 0.5;
 
 impl StorePace {
     /// Returns the timing of an entry for changes that have to be in force within
     /// `bound`.
     pub fn of_entry(bound: Duration, changes: Changes) -> Self {
         match changes {
-            Changes::Seldom => Self::parts(bound, SHORT_PAUSE, ENTRY_WAIT),
-            Changes::Often => Self::parts(bound, ENTRY_PAUSE, GATHERED_WAIT),
+            Changes::Seldom => {
+                Self::from_fractions(bound, RARE_PAUSE_FRACTION, ENTRY_POLL_FRACTION)
+            }
+            Changes::Often => Self::from_fractions(
+                bound,
+                ENTRY_PAUSE_FRACTION,
+                CONTINUOUS_POLL_FRACTION,
+            ),
         }
     }
 
     /// Returns the timing of an agent that reads for the entries of its hall.
     pub fn of_agent(bound: Duration, changes: Changes) -> Self {
         match changes {
-            Changes::Seldom => Self::parts(bound, SHORT_PAUSE, AGENT_WAIT),
-            Changes::Often => Self::parts(bound, AGENT_PAUSE, GATHERED_WAIT),
+            Changes::Seldom => {
+                Self::from_fractions(bound, RARE_PAUSE_FRACTION, AGENT_POLL_FRACTION)
+            }
+            Changes::Often => Self::from_fractions(
+                bound,
+                AGENT_PAUSE_FRACTION,
+                CONTINUOUS_POLL_FRACTION,
+            ),
         }
     }
 
@@ -91,12 +103,12 @@
         self.pause + self.wait + self.answer + self.again
     }
 
-    fn parts(bound: Duration, pause: f64, wait: f64) -> Self {
+    fn from_fractions(bound: Duration, pause: f64, wait: f64) -> Self {
         Self {
             pause: bound.mul_f64(pause),
             wait: bound.mul_f64(wait),
-            answer: bound.mul_f64(ANSWER),
-            again: bound.mul_f64(LIST_ANSWER),
+            answer: bound.mul_f64(ANSWER_FRACTION),
+            again: bound.mul_f64(FULL_READ_FRACTION),
         }
     }
 }
@@ -105,11 +117,11 @@
     /// Returns the timing for changes that have to be in force within `bound`.
     pub fn of(bound: Duration) -> Self {
         Self {
-            pause: bound.mul_f64(SHORT_PAUSE),
-            wait: bound.mul_f64(RELAY_WAIT),
-            answer: bound.mul_f64(ANSWER),
-            oldest: bound.mul_f64(OLDEST),
-            again: bound.mul_f64(LIST_ANSWER),
+            pause: bound.mul_f64(RARE_PAUSE_FRACTION),
+            wait: bound.mul_f64(RELAY_POLL_FRACTION),
+            answer: bound.mul_f64(ANSWER_FRACTION),
+            oldest: bound.mul_f64(MAX_AGE_FRACTION),
+            again: bound.mul_f64(FULL_READ_FRACTION),
         }
     }
 
--- a/crates/larkspring-core/src/fleet/routes.rs
+++ b/crates/larkspring-core/src/fleet/routes.rs
@@ -227,10 +227,10 @@
         if total == 0 {
             return self.targets.first().map(|t| &t.service);
         }
-        let mut place = (u64::from(pick) * total) >> u32::BITS;
+        let mut point = (u64::from(pick) * total) >> u32::BITS;
         for target in &self.targets {
-            match place.checked_sub(target.weight.into()) {
-                Some(rest) => place = rest,
+            match point.checked_sub(target.weight.into()) {
+                Some(remainder) => point = remainder,
                 None => return Some(&target.service),
             }
         }
--- a/crates/larkspring-core/src/fleet/urgency.rs
+++ b/crates/larkspring-core/src/fleet/urgency.rs
@@ -14,15 +14,15 @@
 pub type Urgency = u32;
 
 /// Urgency of a prompt that can no longer be in time.
-const LATE: Urgency = 8;
+const LATE_URGENCY: Urgency = 8;
 /// Lowest urgency of a prompt that can be in time.
-const LEAST_TIMELY: Urgency = 7;
+const LOWEST_TIMELY_URGENCY: Urgency = 7;
 /// Tokens below which a prompt is short: its prefill takes up to 80 ms, an eighth of the
 /// shortest objective of the deployments.
-const SHORT_PROMPT: u32 = 3000;
+const SHORT_PROMPT_TOKENS: u32 = 3000;
 /// Slack that counts as one step less urgent: about half of the prefill time of the
 /// median long prompt.
-const STEP: Duration = Duration::from_millis(100);
+const SLACK_STEP: Duration = Duration::from_millis(100);
 
 /// Returns the prefill urgency of a prompt.
 ///
@@ -30,11 +30,11 @@
 /// answer would begin late; `unread` is the number of tokens that the engine has not
 /// processed before.
 pub fn urgency(rank: u32, left: Duration, unread: u32) -> Urgency {
-    let reading = Duration::from_secs_f64(f64::from(unread) / TOKENS_PER_MS / 1000.0);
-    let Some(spare) = left.checked_sub(reading) else { return LATE };
-    if unread < SHORT_PROMPT {
-        return rank.min(LEAST_TIMELY);
+    let prefill = Duration::from_secs_f64(f64::from(unread) / TOKENS_PER_MS / 1000.0);
+    let Some(slack) = left.checked_sub(prefill) else { return LATE_URGENCY };
+    if unread < SHORT_PROMPT_TOKENS {
+        return rank.min(LOWEST_TIMELY_URGENCY);
     }
-    let steps = (spare.as_millis() / STEP.as_millis()) as u32;
-    (rank.max(1) + steps).min(LEAST_TIMELY)
+    let steps = (slack.as_millis() / SLACK_STEP.as_millis()) as u32;
+    (rank.max(1) + steps).min(LOWEST_TIMELY_URGENCY)
 }
--- a/crates/larkspring-core/src/fleet/versions.rs
+++ b/crates/larkspring-core/src/fleet/versions.rs
@@ -8,23 +8,23 @@
 /// The newest announced version of each adapter.
 #[derive(Debug, Default, Clone)]
 pub struct Versions {
-    named: HashMap<AdapterId, Named>,
+    announced: HashMap<AdapterId, AnnouncedVersion>,
 }
 
 #[derive(Debug, Clone)]
-struct Named {
+struct AnnouncedVersion {
     number: u64,
     version: VersionId,
     /// The previous version, which remains in use for some time.
-    before: Option<Before>,
+    previous: Option<PreviousVersion>,
 }
 
 /// A version that was replaced by a newer one.
 #[derive(Debug, Clone)]
-struct Before {
+struct PreviousVersion {
     version: VersionId,
     /// When the newer version became known.
-    replaced: Instant,
+    replaced_at: Instant,
     /// Until when requests may be sent with this version.
     send_by: Instant,
     /// Until when these requests may begin.
@@ -35,16 +35,16 @@
 const FIRST_VERSION: u64 = 1;
 /// How long requests may still get the previous version if the newer one is not loaded
 /// anywhere: half of the five seconds that the platform's operators allow.
-const REPLACE_WITHIN: Duration = Duration::from_millis(2500);
+const PREVIOUS_SEND_WINDOW: Duration = Duration::from_millis(2500);
 /// How long a request that was sent with the previous version may wait at its engine
 /// until it begins.
-const BEGIN_WITHIN: Duration = Duration::from_millis(4000);
+const PREVIOUS_START_WINDOW: Duration = Duration::from_millis(4000);
 /// The same limit, counted from the earliest time at which the newer version can have
 /// been announced, as the announcement may arrive late. The rest of the five seconds is
 /// for the transmission of the cancellation.
-const LATEST_BEGIN: Duration = Duration::from_millis(4700);
+const MAX_START_DELAY: Duration = Duration::from_millis(4700);
 /// Time that a request has to begin once it is sent.
-const TO_BEGIN: Duration = Duration::from_millis(1500);
+const TIME_TO_START: Duration = Duration::from_millis(1500);
 
 impl Versions {
     /// Records a version that was announced after `since`. Returns whether the version is
@@ -56,50 +56,54 @@
         adapter: &AdapterId,
         number: u64,
     ) -> bool {
-        let old = self.named.get(adapter);
+        let old = self.announced.get(adapter);
         let old_number = old.map_or(FIRST_VERSION, |n| n.number);
         if number <= old_number {
             return false;
         }
-        let latest = since + LATEST_BEGIN;
-        let before = Before {
+        let latest = since + MAX_START_DELAY;
+        let previous = PreviousVersion {
             version: old.map_or_else(|| version_id(FIRST_VERSION), |n| n.version.clone()),
-            replaced: now,
-            send_by: (now + REPLACE_WITHIN).min(latest - TO_BEGIN),
-            begin_by: (now + BEGIN_WITHIN).min(latest),
+            replaced_at: now,
+            send_by: (now + PREVIOUS_SEND_WINDOW).min(latest - TIME_TO_START),
+            begin_by: (now + PREVIOUS_START_WINDOW).min(latest),
         };
-        let named = Named { number, version: version_id(number), before: Some(before) };
-        self.named.insert(adapter.clone(), named);
+        let announced = AnnouncedVersion {
+            number,
+            version: version_id(number),
+            previous: Some(previous),
+        };
+        self.announced.insert(adapter.clone(), announced);
         true
     }
 
     /// Returns the newest version of an adapter.
     pub fn newest(&self, adapter: &AdapterId) -> VersionId {
-        self.named
+        self.announced
             .get(adapter)
             .map_or_else(|| version_id(FIRST_VERSION), |n| n.version.clone())
     }
 
     /// Returns the previous version of an adapter, while requests may still get it.
     pub fn still_allowed(&self, now: Instant, adapter: &AdapterId) -> Option<VersionId> {
-        let before = self.named.get(adapter)?.before.as_ref()?;
-        (now < before.send_by).then(|| before.version.clone())
+        let previous = self.announced.get(adapter)?.previous.as_ref()?;
+        (now < previous.send_by).then(|| previous.version.clone())
     }
 
     /// Returns until when a request may begin on `version`; `None` if it is the newest.
     pub fn begin_by(&self, adapter: &AdapterId, version: &VersionId) -> Option<Instant> {
-        let named = self.named.get(adapter)?;
-        let before = named.before.as_ref()?;
+        let announced = self.announced.get(adapter)?;
+        let previous = announced.previous.as_ref()?;
         match version {
-            v if *v == named.version => None,
-            v if *v == before.version => Some(before.begin_by),
-            _ => Some(before.replaced),
+            v if *v == announced.version => None,
+            v if *v == previous.version => Some(previous.begin_by),
+            _ => Some(previous.replaced_at),
         }
     }
 
     /// Returns all announced versions.
     pub fn all(&self) -> impl Iterator<Item = (&AdapterId, u64)> {
-        self.named.iter().map(|(adapter, named)| (adapter, named.number))
+        self.announced.iter().map(|(adapter, announced)| (adapter, announced.number))
     }
 }
 
--- a/crates/larkspring-core/tests/availability.rs
+++ b/crates/larkspring-core/tests/availability.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use larkspring_core::fleet::availability::{Availability, News, Notice, MAX_REST};
+use larkspring_core::fleet::availability::{Availability, News, Notice, MAX_BACKOFF};
 
 /// What happens to one run of an endpoint.
 #[derive(Debug, Clone, Copy)]
@@ -72,7 +72,7 @@
 #[test]
 fn what_was_said_holds_until_it_ends_or_the_run_does() {
     let case = |name, steps, is| Case { name, steps, is };
-    const HOUR: u64 = MAX_REST.as_secs();
+    const HOUR: u64 = MAX_BACKOFF.as_secs();
     let cases = [
         case("nothing", &[Silent], Is::Open),
         case("it leaves", &[Leaves], Is::Leaving),
