--- a/crates/larkspring-core/src/budget.rs
+++ b/crates/larkspring-core/src/budget.rs
@@ -12,9 +12,9 @@
 pub struct Budget {
     limits: BudgetLimits,
     /// Loads that the rate allows to begin now.
-    saved: f64,
-    filled: Option<Instant>,
-    waiting: HashMap<LoadId, Wait>,
+    available: f64,
+    refilled_at: Option<Instant>,
+    waiting: HashMap<LoadId, WaitingLoad>,
     active: HashMap<LoadId, Instant>,
 }
 
@@ -31,27 +31,27 @@
 pub type LoadId = String;
 
 #[derive(Debug)]
-struct Wait {
+struct WaitingLoad {
     since: Instant,
     priority: u32,
     waiting: u32,
 }
 
 /// Time after which a load that was not reported as ended counts as ended.
-const LOST: Duration = Duration::from_secs(30);
+const LOAD_TIMEOUT: Duration = Duration::from_secs(30);
 /// Time by which each waiting request advances a load.
-const FORWARD: Duration = Duration::from_millis(250);
+const ADVANCE_PER_REQUEST: Duration = Duration::from_millis(250);
 /// Time by which each step of priority delays a load. The delay is finite, so that no
 /// load waits for ever.
-const BACK: Duration = Duration::from_secs(2);
+const DELAY_PER_PRIORITY: Duration = Duration::from_secs(2);
 
 impl Budget {
     /// Creates an unused budget.
     pub fn new(limits: BudgetLimits) -> Self {
         Self {
             limits,
-            saved: 0.0,
-            filled: None,
+            available: 0.0,
+            refilled_at: None,
             waiting: HashMap::new(),
             active: HashMap::new(),
         }
@@ -59,7 +59,7 @@
 
     /// Adds a load that waits to begin.
     pub fn ask(&mut self, now: Instant, load: LoadId, priority: u32, waiting: u32) {
-        self.waiting.insert(load, Wait { since: now, priority, waiting });
+        self.waiting.insert(load, WaitingLoad { since: now, priority, waiting });
     }
 
     /// Withdraws a load that no longer waits to begin.
@@ -74,14 +74,15 @@
 
     /// Returns the loads that may begin now, the most urgent first.
     pub fn grant(&mut self, now: Instant) -> Vec<LoadId> {
-        self.fill(now);
-        self.active.retain(|_, since| now.saturating_duration_since(*since) < LOST);
+        self.refill(now);
+        self.active
+            .retain(|_, since| now.saturating_duration_since(*since) < LOAD_TIMEOUT);
         let mut granted = Vec::new();
-        while self.saved >= 1.0 && self.active.len() < self.limits.concurrency {
+        while self.available >= 1.0 && self.active.len() < self.limits.concurrency {
             let Some(load) = self.first() else { break };
             self.waiting.remove(&load);
             self.active.insert(load.clone(), now);
-            self.saved -= 1.0;
+            self.available -= 1.0;
             granted.push(load);
         }
         granted
@@ -95,35 +96,34 @@
             return None;
         }
         if self.active.len() >= self.limits.concurrency {
-            return self.active.values().min().map(|since| *since + LOST);
+            return self.active.values().min().map(|since| *since + LOAD_TIMEOUT);
         }
-        let missing = (1.0 - self.saved).max(0.0);
+        let missing = (1.0 - self.available).max(0.0);
         Some(now + Duration::from_secs_f64(missing / self.limits.rate.max(1e-3)))
     }
 
-    fn fill(&mut self, now: Instant) {
-        let most = self.limits.concurrency as f64;
-        let gained = match self.filled.replace(now) {
-            None => most,
+    fn refill(&mut self, now: Instant) {
+        let capacity = self.limits.concurrency as f64;
+        let gained = match self.refilled_at.replace(now) {
+            None => capacity,
             Some(at) => {
                 now.saturating_duration_since(at).as_secs_f64() * self.limits.rate
             }
         };
-        self.saved = (self.saved + gained).min(most);
+        self.available = (self.available + gained).min(capacity);
     }
 
     fn first(&self) -> Option<LoadId> {
-        let pressing =
-            self.waiting.iter().min_by_key(|(load, wait)| (wait.rank(), *load));
-        pressing.map(|(load, _)| load.clone())
+        let urgent = self.waiting.iter().min_by_key(|(load, wait)| (wait.rank(), *load));
+        urgent.map(|(load, _)| load.clone())
     }
 }
 
-impl Wait {
+impl WaitingLoad {
     /// The load's position in the queue: its arrival time, adjusted for priority and
     /// waiting requests.
     fn rank(&self) -> Instant {
-        let put_back = self.since + BACK * self.priority;
-        put_back.checked_sub(FORWARD * self.waiting).unwrap_or(put_back)
+        let delayed = self.since + DELAY_PER_PRIORITY * self.priority;
+        delayed.checked_sub(ADVANCE_PER_REQUEST * self.waiting).unwrap_or(delayed)
     }
 }
--- a/crates/larkspring-core/src/retry.rs
+++ b/crates/larkspring-core/src/retry.rs
@@ -11,7 +11,7 @@
 /// Credit that a retry costs.
 const RETRY_COST: u64 = 100;
 /// Consecutive retries that a new budget allows.
-const BURST: u64 = 10;
+const MAX_BURST: u64 = 10;
 
 /// A retry budget in proportion to the number of requests.
 #[derive(Debug)]
@@ -23,18 +23,18 @@
 impl RetryBudget {
     /// Creates a budget of `percent` retries for each hundred requests.
     pub fn new(percent: u32) -> Self {
-        Self { percent: percent.into(), credit: BURST * RETRY_COST }
+        Self { percent: percent.into(), credit: MAX_BURST * RETRY_COST }
     }
 
     /// Counts a first attempt.
     pub fn earn(&mut self) {
-        self.credit = (self.credit + self.percent).min(BURST * RETRY_COST);
+        self.credit = (self.credit + self.percent).min(MAX_BURST * RETRY_COST);
     }
 
     /// Takes one retry from the budget. Returns whether there was one.
     pub fn spend(&mut self) -> bool {
-        let Some(rest) = self.credit.checked_sub(RETRY_COST) else { return false };
-        self.credit = rest;
+        let Some(remaining) = self.credit.checked_sub(RETRY_COST) else { return false };
+        self.credit = remaining;
         true
     }
 }
@@ -76,14 +76,14 @@
 struct Slice {
     start: Instant,
     requests: u32,
-    repeats: u32,
+    retries: u32,
 }
 
 /// Number of slices of a window.
 const SLICES: u32 = 20;
 /// Part of the budget that is used. The rest covers retries that an earlier process of
 /// this entry sent, and entries that just started.
-const USED_PART: f64 = 0.6;
+const USED_FRACTION: f64 = 0.6;
 
 impl RepeatWindow {
     /// Creates a window without requests.
@@ -106,13 +106,13 @@
     pub fn repeat(&mut self, now: Instant, entries: usize) -> bool {
         self.slice(now);
         let requests: u32 = self.slices.iter().map(|s| s.requests).sum();
-        let repeats: u32 = self.slices.iter().map(|s| s.repeats).sum();
-        let share = (self.terms.extra * USED_PART / entries.max(1) as f64).floor();
-        let allowed = self.terms.ratio * USED_PART * f64::from(requests) + share;
-        if f64::from(repeats + 1) > allowed {
+        let retries: u32 = self.slices.iter().map(|s| s.retries).sum();
+        let share = (self.terms.extra * USED_FRACTION / entries.max(1) as f64).floor();
+        let allowed = self.terms.ratio * USED_FRACTION * f64::from(requests) + share;
+        if f64::from(retries + 1) > allowed {
             return false;
         }
-        self.slice(now).repeats += 1;
+        self.slice(now).retries += 1;
         true
     }
 
@@ -130,7 +130,7 @@
         let current =
             current.is_some_and(|s| now.saturating_duration_since(s.start) < length);
         if !current {
-            self.slices.push_back(Slice { start: now, requests: 0, repeats: 0 });
+            self.slices.push_back(Slice { start: now, requests: 0, retries: 0 });
         }
         let last = self.slices.len() - 1;
         &mut self.slices[last]
--- a/crates/larkspring-core/src/route.rs
+++ b/crates/larkspring-core/src/route.rs
@@ -19,7 +19,7 @@
 #[derive(Debug)]
 pub struct Router {
     policy: Policy,
-    shards: [Mutex<HashMap<EndpointId, Known>>; SHARDS],
+    shards: [Mutex<HashMap<EndpointId, EndpointState>>; SHARDS],
 }
 
 /// The policy by which an endpoint is chosen.
@@ -49,8 +49,8 @@
 }
 
 #[derive(Debug, Default)]
-struct Known {
-    hint: Hint,
+struct EndpointState {
+    load_report: Hint,
     /// Requests of this entry in progress at the endpoint.
     outstanding: u32,
     /// Until when the endpoint is avoided.
@@ -59,16 +59,16 @@
 
 const SHARDS: usize = 16;
 /// Number of candidates of a model request by rendezvous hashing.
-const CANDIDATES: usize = 3;
+const MAX_CANDIDATES: usize = 3;
 /// Predicted cost of a load, in requests ahead in the queue.
 const LOAD_COST: u32 = 16;
 /// Cost of each higher-ranked candidate that is skipped, in requests ahead in the queue,
 /// so that entries without information about an adapter agree on where it is loaded.
 const RANK_COST: u32 = 8;
 /// How long an endpoint that could not be reached is avoided.
-const AVOID: Duration = Duration::from_secs(1);
+const UNREACHABLE_AVOIDANCE: Duration = Duration::from_secs(1);
 /// How long a draining endpoint is avoided.
-const AVOID_LEAVING: Duration = Duration::from_secs(10);
+const DRAINING_AVOIDANCE: Duration = Duration::from_secs(10);
 
 impl Policy {
     /// Parses the name used in settings.
@@ -98,46 +98,53 @@
         tried: &[EndpointId],
         rng: &mut Rng,
     ) -> Option<Arc<Endpoint>> {
-        let usable = |e: &&Arc<Endpoint>| {
-            !e.leaving && !tried.contains(&e.name) && !self.avoided(now, &e.name)
+        let is_usable = |e: &&Arc<Endpoint>| {
+            !e.leaving && !tried.contains(&e.name) && !self.is_avoided(now, &e.name)
         };
-        let open: Vec<_> = endpoints.iter().copied().filter(usable).collect();
+        let usable: Vec<_> = endpoints.iter().copied().filter(is_usable).collect();
         let chosen = match (self.policy, target) {
-            (Policy::Random, _) => rng.choice(open),
+            (Policy::Random, _) => rng.choice(usable),
             (Policy::Predicted, Some(target)) => {
-                let near = ranked(open, target).into_iter().take(CANDIDATES);
-                let costs = near.enumerate().map(|(rank, e)| {
+                let candidates =
+                    rank_endpoints(usable, target).into_iter().take(MAX_CANDIDATES);
+                let costs = candidates.enumerate().map(|(rank, e)| {
                     (self.cost(&e.name, target) + RANK_COST * rank as u32, e)
                 });
                 costs.min_by_key(|(cost, _)| *cost).map(|(_, e)| e)
             }
-            (Policy::Hash, Some(target)) => ranked(open, target).into_iter().next(),
-            (_, None) | (Policy::Least, _) => self.least(open, rng),
+            (Policy::Hash, Some(target)) => {
+                rank_endpoints(usable, target).into_iter().next()
+            }
+            (_, None) | (Policy::Least, _) => self.fewest_requests(usable, rng),
         };
         chosen.cloned()
     }
 
     /// Records that a request is sent to an endpoint.
     pub fn sent(&self, name: &EndpointId) {
-        self.with(name, |known| known.outstanding += 1);
+        self.with_state(name, |known| known.outstanding += 1);
     }
 
     /// Records that a request at an endpoint ended.
     pub fn done(&self, name: &EndpointId) {
-        self.with(name, |known| known.outstanding = known.outstanding.saturating_sub(1));
+        self.with_state(name, |known| {
+            known.outstanding = known.outstanding.saturating_sub(1)
+        });
     }
 
     /// Records an agent's load report.
     pub fn learn(&self, now: Instant, name: &EndpointId, hint: Hint) {
-        self.with(name, |known| {
-            known.avoid_until = hint.leaving.then(|| now + AVOID_LEAVING);
-            known.hint = hint;
+        self.with_state(name, |known| {
+            known.avoid_until = hint.leaving.then(|| now + DRAINING_AVOIDANCE);
+            known.load_report = hint;
         });
     }
 
     /// Records that an endpoint could not be reached.
     pub fn unreachable(&self, now: Instant, name: &EndpointId) {
-        self.with(name, |known| known.avoid_until = Some(now + AVOID));
+        self.with_state(name, |known| {
+            known.avoid_until = Some(now + UNREACHABLE_AVOIDANCE)
+        });
     }
 
     /// Removes the endpoints that are no longer declared.
@@ -149,27 +156,33 @@
 
     /// Predicted wait at an endpoint, in requests ahead in the queue.
     fn cost(&self, name: &EndpointId, target: TargetHash) -> u32 {
-        self.with(name, |known| {
-            let queue = known.hint.waiting + known.outstanding.max(known.hint.running);
-            let resident = known.hint.resident.contains(&target);
+        self.with_state(name, |known| {
+            let queue = known.load_report.waiting
+                + known.outstanding.max(known.load_report.running);
+            let resident = known.load_report.resident.contains(&target);
             queue + if resident { 0 } else { LOAD_COST }
         })
     }
 
-    fn least<'a>(
+    fn fewest_requests<'a>(
         &self,
-        open: Vec<&'a Arc<Endpoint>>,
+        usable: Vec<&'a Arc<Endpoint>>,
         rng: &mut Rng,
     ) -> Option<&'a Arc<Endpoint>> {
-        let load = |e: &&Arc<Endpoint>| self.with(&e.name, |known| known.outstanding);
-        open.into_iter().min_by_key(|e| (load(e), rng.u32(..)))
+        let load =
+            |e: &&Arc<Endpoint>| self.with_state(&e.name, |known| known.outstanding);
+        usable.into_iter().min_by_key(|e| (load(e), rng.u32(..)))
     }
 
-    fn avoided(&self, now: Instant, name: &EndpointId) -> bool {
-        self.with(name, |known| known.avoid_until.is_some_and(|until| until > now))
+    fn is_avoided(&self, now: Instant, name: &EndpointId) -> bool {
+        self.with_state(name, |known| known.avoid_until.is_some_and(|until| until > now))
     }
 
-    fn with<T>(&self, name: &EndpointId, f: impl FnOnce(&mut Known) -> T) -> T {
+    fn with_state<T>(
+        &self,
+        name: &EndpointId,
+        f: impl FnOnce(&mut EndpointState) -> T,
+    ) -> T {
         let shard = xxh3_64_with_seed(name.as_bytes(), 0) as usize % SHARDS;
         let mut known = self.shards[shard].lock();
         match known.get_mut(name) {
@@ -180,8 +193,11 @@
 }
 
 /// Sorts endpoints by their rendezvous weight for a target, the first choice first.
-fn ranked(mut open: Vec<&Arc<Endpoint>>, target: TargetHash) -> Vec<&Arc<Endpoint>> {
+fn rank_endpoints(
+    mut usable: Vec<&Arc<Endpoint>>,
+    target: TargetHash,
+) -> Vec<&Arc<Endpoint>> {
     let weight = |e: &Arc<Endpoint>| xxh3_64_with_seed(e.name.as_bytes(), target);
-    open.sort_by_cached_key(|e| std::cmp::Reverse(weight(e)));
-    open
+    usable.sort_by_cached_key(|e| std::cmp::Reverse(weight(e)));
+    usable
 }
--- a/crates/larkspring-core/src/slots.rs
+++ b/crates/larkspring-core/src/slots.rs
@@ -15,8 +15,8 @@
 use std::time::{Duration, Instant};
 
 pub use self::limits::{Eviction, Limits, LoadOrder};
-use self::refuse::{leaving, unreachable};
-use self::residency::{Heat, Phase, Residency};
+use self::refuse::{draining_refusal, unreachable_refusal};
+use self::residency::{Phase, Residency, UseCount};
 use self::window::FetchWindow;
 use crate::fleet::copies::Copies;
 use crate::ids::{AttemptId, Incarnation, Target, TargetHash};
@@ -35,11 +35,11 @@
     unloaded: HashMap<Target, Instant>,
     /// Use counts of adapters that are not resident, for the case that they are loaded
     /// again.
-    past: HashMap<Target, Heat>,
+    past_uses: HashMap<Target, UseCount>,
     /// Adapters of which the engine's VM has host-memory copies, so that no fetch is
     /// needed.
     copies: Copies,
-    window: FetchWindow,
+    fetch_window: FetchWindow,
     load_time: Duration,
     service_time: Duration,
     draining: bool,
@@ -47,7 +47,7 @@
     /// Whether the engine temporarily can't load adapters.
     loads_paused: bool,
     /// Time before which no adapter is unloaded.
-    settled_at: Option<Instant>,
+    unloads_allowed_at: Option<Instant>,
 }
 
 /// An adapter that an engine reports as resident.
@@ -103,10 +103,10 @@
     until: Instant,
 }
 
-const FIRST_LOAD_TIME: Duration = Duration::from_millis(500);
-const FIRST_SERVICE_TIME: Duration = Duration::from_secs(1);
-const FAILURE_BACKOFF: Duration = Duration::from_millis(500);
-const FAILURE_BACKOFF_LIMIT: Duration = Duration::from_secs(30);
+const INITIAL_LOAD_TIME: Duration = Duration::from_millis(500);
+const INITIAL_SERVICE_TIME: Duration = Duration::from_secs(1);
+const INITIAL_FAILURE_BACKOFF: Duration = Duration::from_millis(500);
+const MAX_FAILURE_BACKOFF: Duration = Duration::from_secs(30);
 /// Weight of a new sample in a moving average.
 const SAMPLE_WEIGHT: f64 = 0.2;
 
@@ -115,7 +115,7 @@
     pub fn new(limits: Limits) -> Self {
         Self {
             copies: Copies::default(),
-            window: FetchWindow::new(limits.max_loading),
+            fetch_window: FetchWindow::new(limits.max_loading),
             limits,
             incarnation: None,
             adapters: HashMap::new(),
@@ -123,13 +123,13 @@
             running: HashMap::new(),
             failures: HashMap::new(),
             unloaded: HashMap::new(),
-            past: HashMap::new(),
-            load_time: FIRST_LOAD_TIME,
-            service_time: FIRST_SERVICE_TIME,
+            past_uses: HashMap::new(),
+            load_time: INITIAL_LOAD_TIME,
+            service_time: INITIAL_SERVICE_TIME,
             draining: false,
             reachable: false,
             loads_paused: false,
-            settled_at: None,
+            unloads_allowed_at: None,
         }
     }
 
@@ -142,10 +142,10 @@
         req: Waiting,
     ) -> Result<bool, Refusal> {
         if self.draining {
-            return Err(leaving());
+            return Err(draining_refusal());
         }
         if !self.reachable {
-            return Err(unreachable());
+            return Err(unreachable_refusal());
         }
         if let Some(failure) = self.failures.get(&req.target).filter(|f| f.until > now) {
             let text = "the adapter failed to load here";
@@ -179,7 +179,7 @@
             return;
         }
         let spent = now.saturating_duration_since(run.since);
-        self.service_time = average(self.service_time, spent);
+        self.service_time = moving_average(self.service_time, spent);
         if let Some(adapter) = self.adapters.get_mut(&run.target) {
             adapter.pins = adapter.pins.saturating_sub(1);
             adapter.last_used = now;
@@ -194,17 +194,17 @@
             adapter.phase = Phase::Resident;
             adapter.last_used = now;
             let spent = now.saturating_duration_since(since);
-            self.load_time = average(self.load_time, spent);
+            self.load_time = moving_average(self.load_time, spent);
             if !self.copies.contains(target.hash()) {
-                self.window.ended(now, spent);
+                self.fetch_window.record_fetch(now, spent);
             }
             self.failures.remove(target);
             return;
         }
         self.adapters.remove(target);
         let count = self.failures.get(target).map_or(0, |f| f.count) + 1;
-        let wait = FAILURE_BACKOFF.saturating_mul(1 << (count - 1).min(16));
-        let until = now + wait.min(FAILURE_BACKOFF_LIMIT);
+        let wait = INITIAL_FAILURE_BACKOFF.saturating_mul(1 << (count - 1).min(16));
+        let until = now + wait.min(MAX_FAILURE_BACKOFF);
         self.failures.insert(target.clone(), Failure { count, until });
     }
 
@@ -236,7 +236,7 @@
             return;
         }
         if let Some(adapter) = self.adapters.remove(target) {
-            self.remember(now, target, adapter.heat);
+            self.keep_uses(now, target, adapter.uses);
         }
         self.copies.leave(target.hash());
         self.unloaded.insert(target.clone(), now);
@@ -258,7 +258,7 @@
     pub fn engine_is(&mut self, now: Instant, run: &Incarnation, holds: &[Held]) {
         self.reachable = true;
         let settle = self.limits.settle;
-        self.settled_at.get_or_insert(now + settle);
+        self.unloads_allowed_at.get_or_insert(now + settle);
         if self.incarnation.as_ref() != Some(run) {
             self.incarnation = Some(run.clone());
             self.adapters.clear();
@@ -271,7 +271,7 @@
             }
             let fresh = || Residency::new(now, Phase::Resident);
             let adapter = self.adapters.entry(held.target.clone()).or_insert_with(fresh);
-            adapter.foreign = held.foreign;
+            adapter.other_requests = held.foreign;
         }
     }
 
@@ -318,7 +318,7 @@
 
     /// Hashes of the adapters that are loaded or loading.
     pub fn resident(&self) -> Vec<TargetHash> {
-        let held = self.adapters.iter().filter(|(_, a)| a.serves());
+        let held = self.adapters.iter().filter(|(_, a)| a.is_available());
         held.map(|(target, _)| target.hash()).collect()
     }
 
@@ -327,16 +327,16 @@
     pub fn schedule(&mut self, now: Instant) -> Vec<Action> {
         let mut actions = Vec::new();
         if self.draining {
-            self.refuse_all(&mut actions, leaving);
+            self.refuse_all(&mut actions, draining_refusal);
             return actions;
         }
         if !self.reachable {
-            self.refuse_all(&mut actions, unreachable);
+            self.refuse_all(&mut actions, unreachable_refusal);
             return actions;
         }
         self.refuse_failed(now, &mut actions);
-        self.start_ready(now, &mut actions);
-        self.load_next(now, &mut actions);
+        self.schedule_starts(now, &mut actions);
+        self.schedule_loads(now, &mut actions);
         actions
     }
 
@@ -349,24 +349,24 @@
             Some(a) if a.is_resident() => queue,
             Some(_) => queue.max(self.load_time),
             None => {
-                let at_a_time = self.limits.max_loading.max(1) as u32;
-                queue.max(self.load_time * (1 + self.cold_ahead() / at_a_time))
+                let concurrency = self.limits.max_loading.max(1) as u32;
+                queue.max(self.load_time * (1 + self.missing_adapters() / concurrency))
             }
         }
     }
 
     /// Number of adapters that requests wait for and whose loads have not begun.
-    fn cold_ahead(&self) -> u32 {
-        let mut cold: Vec<_> = self.waiting.values().map(|w| &w.target).collect();
-        cold.sort_unstable();
-        cold.dedup();
-        cold.retain(|target| !self.adapters.contains_key(*target));
-        cold.len() as u32
+    fn missing_adapters(&self) -> u32 {
+        let mut missing: Vec<_> = self.waiting.values().map(|w| &w.target).collect();
+        missing.sort_unstable();
+        missing.dedup();
+        missing.retain(|target| !self.adapters.contains_key(*target));
+        missing.len() as u32
     }
 
-    fn refuse_all(&mut self, actions: &mut Vec<Action>, why: fn() -> Refusal) {
+    fn refuse_all(&mut self, actions: &mut Vec<Action>, refusal: fn() -> Refusal) {
         while let Some((id, _)) = self.waiting.pop_first() {
-            actions.push(Action::Refuse(id, why()));
+            actions.push(Action::Refuse(id, refusal()));
         }
     }
 
@@ -384,7 +384,7 @@
         }
     }
 
-    fn start_ready(&mut self, now: Instant, actions: &mut Vec<Action>) {
+    fn schedule_starts(&mut self, now: Instant, actions: &mut Vec<Action>) {
         for id in self.by_urgency() {
             if self.running.len() >= self.limits.max_running {
                 return;
@@ -396,7 +396,7 @@
             }
             adapter.pins += 1;
             adapter.last_used = now;
-            adapter.heat.add(now);
+            adapter.uses.add(now);
             let run = Running {
                 target: target.clone(),
                 incarnation: self.incarnation.clone(),
@@ -419,6 +419,6 @@
     }
 }
 
-fn average(old: Duration, sample: Duration) -> Duration {
+fn moving_average(old: Duration, sample: Duration) -> Duration {
     old.mul_f64(1.0 - SAMPLE_WEIGHT) + sample.mul_f64(SAMPLE_WEIGHT)
 }
--- a/crates/larkspring-core/src/slots/fresh.rs
+++ b/crates/larkspring-core/src/slots/fresh.rs
@@ -21,26 +21,26 @@
         pending: &[Target],
         is_ordered: impl Fn(&Target) -> bool,
     ) -> Vec<Target> {
-        self.is_run(run);
+        self.set_run(run);
         self.reachable = true;
         self.loads_paused = false;
-        self.settled_at.get_or_insert(now);
+        self.unloads_allowed_at.get_or_insert(now);
         let mut failed = Vec::new();
-        let mut gone = Vec::new();
+        let mut removed = Vec::new();
         for (target, adapter) in &mut self.adapters {
             let held = holds.contains(target);
-            let coming = pending.contains(target);
+            let loading = pending.contains(target);
             match adapter.phase {
-                Phase::Loading { .. } if held || coming || !is_ordered(target) => {}
+                Phase::Loading { .. } if held || loading || !is_ordered(target) => {}
                 Phase::Loading { .. } => failed.push(target.clone()),
                 Phase::Resident | Phase::Retiring if held => {}
                 Phase::Unloading if held => {}
-                _ => gone.push(target.clone()),
+                _ => removed.push(target.clone()),
             }
         }
-        for target in &gone {
+        for target in &removed {
             if let Some(adapter) = self.adapters.remove(target) {
-                self.remember(now, target, adapter.heat);
+                self.keep_uses(now, target, adapter.uses);
                 self.copies.leave(target.hash());
             }
         }
@@ -48,13 +48,13 @@
             self.loaded(now, target, false);
         }
         for target in holds {
-            let fresh = || Residency::new(now, Phase::Resident);
-            self.adapters.entry(target.clone()).or_insert_with(fresh);
+            let new = || Residency::new(now, Phase::Resident);
+            self.adapters.entry(target.clone()).or_insert_with(new);
             self.loaded(now, target, true);
         }
         for target in pending {
-            let coming = || Residency::new(now, Phase::Loading { since: now });
-            self.adapters.entry(target.clone()).or_insert_with(coming);
+            let new = || Residency::new(now, Phase::Loading { since: now });
+            self.adapters.entry(target.clone()).or_insert_with(new);
         }
         failed
     }
@@ -86,13 +86,13 @@
     /// Records that the engine is still loading its base model: requests wait and no
     /// adapters are loaded.
     pub fn engine_fills(&mut self, run: &Incarnation) {
-        self.is_run(run);
+        self.set_run(run);
         self.reachable = true;
         self.loads_paused = true;
     }
 
     /// Sets the run of the engine; the adapters of an earlier run are dropped.
-    fn is_run(&mut self, run: &Incarnation) {
+    fn set_run(&mut self, run: &Incarnation) {
         if self.incarnation.as_ref() != Some(run) {
             self.adapters.clear();
             self.copies.clear();
@@ -108,27 +108,27 @@
     /// Adapters that could be loaded without waiting for a request to end, in addition to
     /// those that requests wait for.
     pub fn free_places(&self) -> usize {
-        let idle = |a: &&Residency| a.pins + a.foreign == 0 && !a.is_loading();
+        let idle = |a: &&Residency| a.pins + a.other_requests == 0 && !a.is_loading();
         let idle = self.adapters.values().filter(idle).count();
         let empty = self.limits.slots.saturating_sub(self.adapters.len());
-        (empty + idle).saturating_sub(self.cold_ahead() as usize)
+        (empty + idle).saturating_sub(self.missing_adapters() as usize)
     }
 
     /// Loads that requests wait for and that are not ordered yet.
     pub fn loads_ahead(&self) -> usize {
-        self.cold_ahead() as usize
+        self.missing_adapters() as usize
     }
 
     /// The resident adapters, and those being loaded.
     pub fn held(&self) -> (Vec<&Target>, Vec<&Target>) {
-        let ready = self.adapters.iter().filter(|(_, a)| a.phase == Phase::Resident);
-        let coming = self.adapters.iter().filter(|(_, a)| a.is_loading());
-        (ready.map(|(t, _)| t).collect(), coming.map(|(t, _)| t).collect())
+        let resident = self.adapters.iter().filter(|(_, a)| a.phase == Phase::Resident);
+        let loading = self.adapters.iter().filter(|(_, a)| a.is_loading());
+        (resident.map(|(t, _)| t).collect(), loading.map(|(t, _)| t).collect())
     }
 
     /// Returns whether another version of the same adapter blocks `target`. That version
     /// is unloaded, or gets no new requests until it can be.
-    pub(super) fn other_version(
+    pub(super) fn evict_other_version(
         &mut self,
         target: &Target,
         actions: &mut Vec<Action>,
@@ -137,7 +137,9 @@
             self.adapters.iter_mut().filter(|(t, _)| t.adapter == target.adapter);
         let Some((other, adapter)) = others.next() else { return false };
         match adapter.phase {
-            Phase::Resident | Phase::Retiring if adapter.pins + adapter.foreign == 0 => {
+            Phase::Resident | Phase::Retiring
+                if adapter.pins + adapter.other_requests == 0 =>
+            {
                 adapter.phase = Phase::Unloading;
                 actions.push(Action::Unload(other.clone()));
             }
--- a/crates/larkspring-core/src/slots/loads.rs
+++ b/crates/larkspring-core/src/slots/loads.rs
@@ -3,25 +3,25 @@
 use std::cmp::Ordering;
 use std::time::Instant;
 
-use super::residency::{Heat, Phase, Residency};
+use super::residency::{Phase, Residency, UseCount};
 use super::{Action, Eviction, LoadOrder, Slots, Waiting};
 use crate::ids::Target;
 
 /// Maximum number of adapters that are not resident and whose use counts are kept.
-const MAX_PAST: usize = 4096;
+const MAX_PAST_USES: usize = 4096;
 /// Use count below which an adapter that is not resident is dropped when the limit is
 /// reached.
-const FORGOTTEN: f64 = 0.5;
+const MIN_PAST_USES: f64 = 0.5;
 
 impl Slots {
     /// Loads the adapters that the most urgent requests wait for.
-    pub(super) fn load_next(&mut self, now: Instant, actions: &mut Vec<Action>) {
+    pub(super) fn schedule_loads(&mut self, now: Instant, actions: &mut Vec<Action>) {
         if self.loads_paused {
             return;
         }
         let order = match self.limits.order {
             LoadOrder::Urgency => self.by_urgency(),
-            LoadOrder::Worth => self.by_worth(now),
+            LoadOrder::Worth => self.by_utility(now),
         };
         for id in order {
             let loading = self.adapters.values().filter(|a| a.is_loading()).count();
@@ -35,19 +35,19 @@
             if !self.may_fetch(now, &req.target) {
                 continue;
             }
-            if self.other_version(&req.target, actions) {
+            if self.evict_other_version(&req.target, actions) {
                 continue;
             }
             if self.adapters.len() < self.limits.slots {
                 let mut loading = Residency::new(now, Phase::Loading { since: now });
-                if let Some(heat) = self.past.remove(&req.target) {
-                    loading.heat = heat;
+                if let Some(uses) = self.past_uses.remove(&req.target) {
+                    loading.uses = uses;
                 }
                 self.adapters.insert(req.target.clone(), loading);
                 actions.push(Action::Load(req.target));
                 continue;
             }
-            self.make_room(now, &req, actions);
+            self.free_slot(now, &req, actions);
             return;
         }
     }
@@ -62,51 +62,56 @@
         let fetched =
             |(t, a): &(&Target, &Residency)| a.is_loading() && !copies.contains(t.hash());
         let fetching = self.adapters.iter().filter(fetched).count();
-        self.window.is_open(now, fetching)
+        self.fetch_window.is_open(now, fetching)
     }
 
     /// Keeps the use count of an adapter that is removed; drops the least used ones when
     /// the limit is reached.
-    pub(super) fn remember(&mut self, now: Instant, target: &Target, heat: Heat) {
-        if self.past.len() >= MAX_PAST {
-            self.past.retain(|_, heat| heat.at(now) >= FORGOTTEN);
+    pub(super) fn keep_uses(&mut self, now: Instant, target: &Target, uses: UseCount) {
+        if self.past_uses.len() >= MAX_PAST_USES {
+            self.past_uses.retain(|_, uses| uses.at(now) >= MIN_PAST_USES);
         }
-        if self.past.len() < MAX_PAST {
-            self.past.insert(target.clone(), heat);
+        if self.past_uses.len() < MAX_PAST_USES {
+            self.past_uses.insert(target.clone(), uses);
         }
     }
 
     /// Evicts an adapter for `req`, or marks one for eviction, unless an eviction is in
     /// progress.
-    fn make_room(&mut self, now: Instant, req: &Waiting, actions: &mut Vec<Action>) {
+    fn free_slot(&mut self, now: Instant, req: &Waiting, actions: &mut Vec<Action>) {
         let freeing = |a: &Residency| matches!(a.phase, Phase::Unloading);
-        let settled = self.settled_at.is_some_and(|at| at <= now);
-        if !settled || self.adapters.values().any(freeing) {
+        let may_unload = self.unloads_allowed_at.is_some_and(|at| at <= now);
+        if !may_unload || self.adapters.values().any(freeing) {
             return;
         }
-        if let Some(victim) = self.coldest(now, |a| a.pins + a.foreign == 0) {
-            self.set_phase(&victim, Phase::Unloading);
-            actions.push(Action::Unload(victim));
+        if let Some(evicted) = self.least_used(now, |a| a.pins + a.other_requests == 0) {
+            self.set_phase(&evicted, Phase::Unloading);
+            actions.push(Action::Unload(evicted));
             return;
         }
         let retiring = self.adapters.values().any(|a| a.phase == Phase::Retiring);
         if retiring || now.saturating_duration_since(req.since) < self.limits.patience {
             return;
         }
-        if let Some(victim) = self.coldest(now, |a| a.phase == Phase::Resident) {
-            self.set_phase(&victim, Phase::Retiring);
+        if let Some(evicted) = self.least_used(now, |a| a.phase == Phase::Resident) {
+            self.set_phase(&evicted, Phase::Retiring);
         }
     }
 
-    /// Finds the adapter to evict among those for which `fits` returns true.
-    fn coldest(&self, now: Instant, fits: impl Fn(&Residency) -> bool) -> Option<Target> {
-        let fit = self.adapters.iter().filter(|(_, a)| a.is_resident() && fits(a));
-        let least = fit.min_by(|(t1, a1), (t2, a2)| {
-            let heat = match self.limits.eviction {
-                Eviction::Heat => a1.heat.at(now).total_cmp(&a2.heat.at(now)),
+    /// Finds the adapter to evict among those for which `is_candidate` returns true.
+    fn least_used(
+        &self,
+        now: Instant,
+        is_candidate: impl Fn(&Residency) -> bool,
+    ) -> Option<Target> {
+        let candidates =
+            self.adapters.iter().filter(|(_, a)| a.is_resident() && is_candidate(a));
+        let least = candidates.min_by(|(t1, a1), (t2, a2)| {
+            let by_uses = match self.limits.eviction {
+                Eviction::Heat => a1.uses.at(now).total_cmp(&a2.uses.at(now)),
                 Eviction::Lru => Ordering::Equal,
             };
-            heat.then(a1.last_used.cmp(&a2.last_used)).then(t1.cmp(t2))
+            by_uses.then(a1.last_used.cmp(&a2.last_used)).then(t1.cmp(t2))
         });
         least.map(|(target, _)| target.clone())
     }
--- a/crates/larkspring-core/src/slots/order.rs
+++ b/crates/larkspring-core/src/slots/order.rs
@@ -9,11 +9,11 @@
 use crate::ids::{AttemptId, Target};
 
 /// The requests that wait for one adapter, combined.
-struct Wanted {
+struct LoadCandidate {
     /// Total utility of the answers.
-    worth: f64,
+    utility: f64,
     /// The earliest soft deadline.
-    due: Instant,
+    soft_deadline: Instant,
     /// The earliest request.
     first: AttemptId,
 }
@@ -22,7 +22,7 @@
 /// nearly finished fetch. Requests with an earlier soft deadline are late in any case. A
 /// fetch takes 250 ms or more, but a slightly late answer may still have the highest
 /// utility.
-const LEAST_LOAD: Duration = Duration::from_millis(100);
+const MIN_LOAD_TIME: Duration = Duration::from_millis(100);
 
 impl Slots {
     /// Returns one waiting request for each adapter, starting with the adapter whose load
@@ -32,29 +32,32 @@
     /// deadline, so answers that can still be in time go first. Where each load displaces
     /// another (all slots in use, weight store busy), this keeps some answers in time
     /// instead of making all of them late.
-    pub(super) fn by_worth(&self, now: Instant) -> Vec<AttemptId> {
-        let mut wanted: HashMap<&Target, Wanted> = HashMap::new();
+    pub(super) fn by_utility(&self, now: Instant) -> Vec<AttemptId> {
+        let mut candidates: HashMap<&Target, LoadCandidate> = HashMap::new();
         for (id, req) in &self.waiting {
-            let fresh = || Wanted { worth: 0.0, due: req.due, first: *id };
-            let adapter = wanted.entry(&req.target).or_insert_with(fresh);
-            adapter.worth += worth_now(req, now);
-            adapter.due = adapter.due.min(req.due);
+            let new =
+                || LoadCandidate { utility: 0.0, soft_deadline: req.due, first: *id };
+            let adapter = candidates.entry(&req.target).or_insert_with(new);
+            adapter.utility += utility_at(req, now);
+            adapter.soft_deadline = adapter.soft_deadline.min(req.due);
             adapter.first = adapter.first.min(*id);
         }
-        let mut order: Vec<_> = wanted.into_values().collect();
-        order.sort_by(Wanted::compare);
-        order.into_iter().map(|wanted| wanted.first).collect()
+        let mut order: Vec<_> = candidates.into_values().collect();
+        order.sort_by(LoadCandidate::compare);
+        order.into_iter().map(|candidate| candidate.first).collect()
     }
 }
 
-impl Wanted {
+impl LoadCandidate {
     fn compare(&self, other: &Self) -> Ordering {
-        let worth = other.worth.total_cmp(&self.worth);
-        worth.then(self.due.cmp(&other.due)).then(self.first.cmp(&other.first))
+        let by_utility = other.utility.total_cmp(&self.utility);
+        by_utility
+            .then(self.soft_deadline.cmp(&other.soft_deadline))
+            .then(self.first.cmp(&other.first))
     }
 }
 
-fn worth_now(req: &Waiting, now: Instant) -> f64 {
-    let in_time = now + LEAST_LOAD <= req.due;
+fn utility_at(req: &Waiting, now: Instant) -> f64 {
+    let in_time = now + MIN_LOAD_TIME <= req.due;
     req.worth * if in_time { 1.0 } else { worth::LATE }
 }
--- a/crates/larkspring-core/src/slots/residency.rs
+++ b/crates/larkspring-core/src/slots/residency.rs
@@ -8,9 +8,9 @@
     /// Requests of this agent that use the adapter.
     pub pins: usize,
     /// Requests of earlier agents that use the adapter.
-    pub foreign: usize,
+    pub other_requests: usize,
     pub last_used: Instant,
-    pub heat: Heat,
+    pub uses: UseCount,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -26,7 +26,7 @@
 
 /// Decaying use count of an adapter, with a half-life of [`HALF_LIFE`].
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Heat {
+pub(super) struct UseCount {
     value: f64,
     at: Instant,
 }
@@ -35,8 +35,8 @@
 
 impl Residency {
     pub fn new(now: Instant, phase: Phase) -> Self {
-        let heat = Heat { value: 0.0, at: now };
-        Self { phase, pins: 0, foreign: 0, last_used: now, heat }
+        let uses = UseCount { value: 0.0, at: now };
+        Self { phase, pins: 0, other_requests: 0, last_used: now, uses }
     }
 
     pub fn is_resident(&self) -> bool {
@@ -48,12 +48,12 @@
     }
 
     /// Whether a request that arrives now needs no other load.
-    pub fn serves(&self) -> bool {
+    pub fn is_available(&self) -> bool {
         matches!(self.phase, Phase::Resident | Phase::Loading { .. })
     }
 }
 
-impl Heat {
+impl UseCount {
     pub fn at(&self, now: Instant) -> f64 {
         let age = now.saturating_duration_since(self.at);
         self.value * 0.5_f64.powf(age.as_secs_f64() / HALF_LIFE.as_secs_f64())
--- a/crates/larkspring-core/src/slots/window.rs
+++ b/crates/larkspring-core/src/slots/window.rs
@@ -14,79 +14,82 @@
     /// Concurrent fetches; below one, the fraction of the time during which a fetch is in
     /// progress.
     size: f64,
-    most: f64,
+    max_size: f64,
     /// Recent shortest fetch.
-    best: Option<Duration>,
+    shortest: Option<Duration>,
     /// When the next fetch may begin, while `size` is below one.
-    next_at: Option<Instant>,
-    ended_at: Option<Instant>,
+    next_start: Option<Instant>,
+    last_end: Option<Instant>,
 }
 
 /// Initial window. After a power failure of the whole fleet all engines begin at once,
 /// and one fetch each is enough to saturate the store.
-const FIRST_SIZE: f64 = 1.0;
+const INITIAL_SIZE: f64 = 1.0;
 /// Shortest duration that counts as a fetch, which takes 250 ms or more. Faster loads (27
 /// to 35 ms) came from a copy in the VM's memory, of which only the most recent are known
 /// here; counted as a fetch, one such load would make all others look slow.
-const LEAST_FETCH: Duration = Duration::from_millis(100);
+const MIN_FETCH_TIME: Duration = Duration::from_millis(100);
 /// Smallest window. With 48 engines on a store that serves 16 fetches at full speed, the
 /// share of each engine is a third.
-const LEAST_SIZE: f64 = 0.5;
+const MIN_SIZE: f64 = 0.5;
 /// Ratio to the shortest fetch above which the store counts as overloaded. It allows a
 /// queue of a quarter of the store's concurrency, so that the store is never idle.
-const FULL_RATIO: f64 = 1.25;
+const OVERLOAD_RATIO: f64 = 1.25;
 /// Smallest factor by which one long fetch reduces the window.
-const MOST_CUT: f64 = 0.5;
+const MIN_REDUCTION_FACTOR: f64 = 0.5;
 /// Increase of the window after a short fetch.
-const RAISE: f64 = 0.5;
+const SIZE_INCREASE: f64 = 0.5;
 /// Factor by which the shortest duration grows with each longer fetch, so that an
 /// unusually short fetch loses its effect after some hundred fetches.
-const BEST_DECAY: f64 = 1.002;
+const SHORTEST_GROWTH_FACTOR: f64 = 1.002;
 /// Time without a fetch after which the estimate of the store's load is outdated.
-const OUTDATED: Duration = Duration::from_secs(1);
-/// Smallest window after [`OUTDATED`].
-const OUTDATED_SIZE: f64 = 2.0;
+const ESTIMATE_LIFETIME: Duration = Duration::from_secs(1);
+/// Smallest window after [`ESTIMATE_LIFETIME`].
+const MIN_SIZE_AFTER_IDLE: f64 = 2.0;
 
 impl FetchWindow {
-    /// Creates the window of an engine with up to `most` concurrent loads.
-    pub fn new(most: usize) -> Self {
+    /// Creates the window of an engine with up to `max_size` concurrent loads.
+    pub fn new(max_size: usize) -> Self {
         Self {
-            size: FIRST_SIZE,
-            most: most as f64,
-            best: None,
-            next_at: None,
-            ended_at: None,
+            size: INITIAL_SIZE,
+            max_size: max_size as f64,
+            shortest: None,
+            next_start: None,
+            last_end: None,
         }
     }
 
-    /// Records a fetch that took `spent`.
-    pub fn ended(&mut self, now: Instant, spent: Duration) {
-        if spent < LEAST_FETCH {
+    /// Records a fetch that took `duration`.
+    pub fn record_fetch(&mut self, now: Instant, duration: Duration) {
+        if duration < MIN_FETCH_TIME {
             return;
         }
-        let best = match self.best {
-            Some(best) if best < spent => best.mul_f64(BEST_DECAY),
-            _ => spent,
+        let shortest = match self.shortest {
+            Some(shortest) if shortest < duration => {
+                shortest.mul_f64(SHORTEST_GROWTH_FACTOR)
+            }
+            _ => duration,
         };
-        self.best = Some(best);
-        self.ended_at = Some(now);
-        let ratio = spent.as_secs_f64() / best.as_secs_f64().max(f64::EPSILON);
-        self.size = match ratio > FULL_RATIO {
-            true => (self.size * (FULL_RATIO / ratio).max(MOST_CUT)).max(LEAST_SIZE),
-            false => (self.size + RAISE).min(self.most),
+        self.shortest = Some(shortest);
+        self.last_end = Some(now);
+        let ratio = duration.as_secs_f64() / shortest.as_secs_f64().max(f64::EPSILON);
+        self.size = match ratio > OVERLOAD_RATIO {
+            true => (self.size * (OVERLOAD_RATIO / ratio).max(MIN_REDUCTION_FACTOR))
+                .max(MIN_SIZE),
+            false => (self.size + SIZE_INCREASE).min(self.max_size),
         };
         let pause = (1.0 / self.size - 1.0).max(0.0);
-        self.next_at = (pause > 0.0).then(|| now + spent.mul_f64(pause));
+        self.next_start = (pause > 0.0).then(|| now + duration.mul_f64(pause));
     }
 
     /// Whether another fetch may begin beside `fetching` current ones.
     pub fn is_open(&mut self, now: Instant, fetching: usize) -> bool {
-        let idle = self.ended_at.map(|at| now.saturating_duration_since(at));
-        if fetching == 0 && idle.is_some_and(|idle| idle > OUTDATED) {
-            self.size = self.size.max(OUTDATED_SIZE.min(self.most));
-            self.next_at = None;
+        let idle = self.last_end.map(|at| now.saturating_duration_since(at));
+        if fetching == 0 && idle.is_some_and(|idle| idle > ESTIMATE_LIFETIME) {
+            self.size = self.size.max(MIN_SIZE_AFTER_IDLE.min(self.max_size));
+            self.next_start = None;
         }
-        if self.next_at.is_some_and(|at| at > now) {
+        if self.next_start.is_some_and(|at| at > now) {
             return false;
         }
         fetching < self.size.max(1.0) as usize
