--- a/crates/larkspring-core/tests/availability.rs
+++ b/crates/larkspring-core/tests/availability.rs
@@ -1,33 +1,34 @@
-//! What endpoints say of themselves, and what takes it back.
+//! Tests of the availability that endpoints announce in their answers, and of when it
+//! ends.
 
 use std::time::{Duration, Instant};
 
 use larkspring_core::fleet::availability::{Availability, News, Notice, MAX_BACKOFF};
 
-/// What happens to one run of an endpoint.
+/// An event of one run of an endpoint.
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    /// An answer says that it leaves.
+    /// An answer says that the endpoint is draining.
     Leaves,
-    /// A refusal names so many seconds of rest.
+    /// A refusal asks for a backoff of this many seconds.
     Rest(u64),
-    /// An answer says nothing, or a refusal names no time.
+    /// An answer without notice, or a refusal without a time.
     Silent,
-    /// The platform lists it with this start.
+    /// The platform lists the run with this start.
     Listed(Option<u64>),
-    /// Another run of the same name has begun by now.
+    /// Another run of the same name has begun.
     Renewed,
-    /// So many seconds pass.
+    /// This many seconds pass.
     Wait(u64),
 }
 
 use Step::*;
 
-/// What is known of it.
+/// The expected state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Is {
     Open,
-    /// Rests for so many seconds from now.
+    /// Backing off for this many seconds from now.
     Resting(u64),
     Leaving,
 }
@@ -38,7 +39,7 @@
     is: Is,
 }
 
-/// Plays steps without a spread of the end of a rest.
+/// Applies steps without a spread of the end of a backoff.
 fn play(steps: &[Step]) -> (Availability, Instant) {
     let (mut said, mut now) = (Availability::default(), Instant::now());
     for step in steps {
@@ -121,7 +122,7 @@
     assert_eq!(said.hear(now, now, Notice::LEAVING, 0.0), News::default());
 }
 
-/// VMs come back one after the other: none before the end of the rest, all soon after.
+/// VMs return one after the other: none before the end of the backoff, all soon after.
 #[test]
 fn the_end_of_a_rest_is_spread() {
     let now = Instant::now();
@@ -136,7 +137,7 @@
     assert!(ends.windows(2).all(|two| two[0] < two[1]));
 }
 
-/// Steps drawn at random against a plain record of all that was said.
+/// Random steps, compared with a plain record of all notices.
 #[test]
 fn drawn_series_of_words_agree_with_a_record_of_all() {
     let mut rng = fastrand::Rng::with_seed(7);
@@ -157,7 +158,7 @@
     }
 }
 
-/// The same by the whole record: what was said since the last run began.
+/// Computes the same state from all notices since the last run began.
 fn expected(steps: &[Step]) -> Is {
     let (mut at, mut start, mut leaves) = (0, None, false);
     let mut ends = vec![0];
--- a/crates/larkspring-core/tests/budget.rs
+++ b/crates/larkspring-core/tests/budget.rs
@@ -1,4 +1,4 @@
-//! The weight store's budget: its limits, and who goes first.
+//! Tests of the weight store's load budget: its limits and the order of loads.
 
 use std::time::{Duration, Instant};
 
@@ -68,7 +68,8 @@
 fn pressing_loads_go_first_and_none_waits_for_ever() {
     struct Case {
         name: &'static str,
-        /// Priority, number waiting and seconds waited, of the first and the second.
+        /// Priority, number of waiting requests and seconds waited, of the first and the
+        /// second load.
         first: (u32, u32, u32),
         second: (u32, u32, u32),
     }
@@ -98,8 +99,8 @@
         budget.ask(start, load.into(), 5, 1);
     }
     assert_eq!(budget.grant(start).len(), 2);
-    // The rate would allow one more, but two are under way: until one of them ends there
-    // is nothing to look at but their time-out.
+    // The rate would allow another load, but two are in progress: until one of them ends,
+    // the next check is their time-out.
     let later = start + SECOND;
     assert!(budget.grant(later).is_empty());
     assert_eq!(budget.next(later), Some(start + SECOND * 30));
--- a/crates/larkspring-core/tests/fleet_attempt.rs
+++ b/crates/larkspring-core/tests/fleet_attempt.rs
@@ -1,4 +1,4 @@
-//! What may follow each way an attempt can end.
+//! Tests of the next step for each end of an attempt.
 
 use larkspring_core::fleet::attempt::{next, AttemptEnd, History, Next, MAX_ATTEMPTS};
 use larkspring_core::fleet::routes::RouteClass;
@@ -164,8 +164,9 @@
     }
 }
 
-/// Over all combinations: what may have run is never sent again unless it may run again,
-/// never called "not run", and nothing goes on for ever.
+/// Guards, over all combinations, against retrying a request that may have run and must
+/// not run twice, against answering "not run" for a request that may have run, and
+/// against endless retries.
 #[test]
 fn no_combination_breaks_a_promise() {
     for class in CLASSES {
--- a/crates/larkspring-core/tests/fleet_choose.rs
+++ b/crates/larkspring-core/tests/fleet_choose.rs
@@ -1,4 +1,4 @@
-//! Where requests are sent.
+//! Tests of the choice of an endpoint in a fleet.
 
 use std::time::{Duration, Instant};
 
@@ -296,7 +296,7 @@
 fn without_homes_a_near_endpoint_goes_before_the_home() {
     let far_home = View { same_hall: false, ..ABSENT };
     let near = View { loads_ahead: 0, ..ABSENT };
-    // Two ranks away is further than another hall.
+    // Two ranks cost more than another hall.
     let views = [far_home, far_home, near];
     let off = Without::from_iter([Mechanism::HomeRank]);
     assert_eq!(for_adapter(&views, Without::default()), Some(0));
--- a/crates/larkspring-core/tests/fleet_members.rs
+++ b/crates/larkspring-core/tests/fleet_members.rs
@@ -1,4 +1,4 @@
-//! Endpoints that come, leave, lapse in an outage and return.
+//! Tests of endpoints that start, drain, expire in an outage and return.
 
 use std::time::{Duration, Instant};
 
@@ -22,11 +22,11 @@
 
 enum Step {
     Put(&'static str, bool),
-    /// An endpoint is missing; whether just after an outage.
+    /// An endpoint is missing; the flag: just after an outage.
     Gone(&'static str, bool),
-    /// The whole list; whether just after an outage.
+    /// A complete list; the flag: just after an outage.
     List(&'static [&'static str], bool),
-    /// Time passes, in milliseconds.
+    /// This many milliseconds pass.
     Pass(u64),
 }
 
@@ -117,7 +117,7 @@
     }
 }
 
-/// One endpoint as the store's list has it, written at a revision.
+/// An entry of the store's list, written at a revision.
 #[derive(Clone, Copy, PartialEq)]
 struct Entry {
     start: StartMs,
@@ -125,17 +125,17 @@
     written: u64,
 }
 
-/// A store of a few endpoints that may be copied and restored, and what its writers wrote
-/// last, which is written again after a restore.
+/// A store of a few endpoints that may be copied and restored, with the latest state of
+/// its writers, which they write again after a restore.
 #[derive(Default, Clone)]
 struct Store {
     epoch: u64,
     revision: u64,
     listed: [Option<Entry>; RUNS],
-    /// What each endpoint says of itself; `None` if it ended.
+    /// Start and draining flag of each endpoint; `None` if it ended.
     said: [Option<(StartMs, bool)>; RUNS],
     starts: StartMs,
-    /// Revision of the copy that it came back from.
+    /// Revision of the copy from which the store was restored.
     copied: u64,
 }
 
@@ -171,8 +171,9 @@
     }
 }
 
-/// Guards against using a run again that is known to leave or to have ended, whatever a
-/// restored store lists: drawn series of starts, words, ends, copies, restores and lists.
+/// Guards against using a run again that is known to be draining or to have ended, when a
+/// restored store lists it as ready. Random series of starts, drains, ends, copies,
+/// restores and reads.
 #[test]
 fn drawn_restores_never_bring_back_what_left() {
     let mut copied = 0;
@@ -181,7 +182,7 @@
         let mut store = Store { epoch: 1, ..Store::default() };
         let mut copy = store.clone();
         let mut members = Members::default();
-        // Runs that were read as leaving or, after they had been known, as gone.
+        // Runs that were read as draining or, after they had been known, as ended.
         let mut left: Vec<(usize, StartMs)> = Vec::new();
         let mut known: [Option<StartMs>; RUNS] = [None; RUNS];
         for _ in 0..rng.usize(10..60) {
@@ -211,7 +212,7 @@
                     copy = store.clone();
                     copied += 1;
                 }
-                // Writers write again what the copy lacks.
+                // Writers restore entries that the copy lacks.
                 6 => store.write(n),
                 _ => {
                     let restored = members.begin_epoch(store.at());
@@ -227,7 +228,8 @@
                             match entry.leaving {
                                 true => left.push((n, entry.start)),
                                 false if is_copied => {}
-                                // It was missing for longer than the grace, and lives.
+                                // The run was missing for longer than the grace period
+                                // and is alive.
                                 false => left.retain(|run| *run != (n, entry.start)),
                             }
                         } else if !restored {
@@ -255,7 +257,7 @@
 fn endpoints_that_a_copy_lacks_are_kept_for_the_grace() {
     struct Row {
         name: &'static str,
-        /// Whether it is written again, so long after the restore.
+        /// When the entry is written again, in milliseconds after the restore.
         again_ms: Option<u64>,
         pass_ms: u64,
         is_kept: bool,
@@ -282,7 +284,7 @@
     }
 }
 
-/// Guards against comparing revisions of two histories of the store.
+/// Guards against comparing revisions of two epochs of the store.
 #[test]
 fn points_are_ordered_by_their_epoch_first() {
     let points = [(1, 9), (2, 1), (2, 8), (3, 0)].map(|(e, r)| StorePoint::new(e, r));
--- a/crates/larkspring-core/tests/fleet_reading.rs
+++ b/crates/larkspring-core/tests/fleet_reading.rs
@@ -1,4 +1,4 @@
-//! What is still to be read at an engine.
+//! Tests of the estimated prefill backlog of an engine.
 
 use std::time::{Duration, Instant};
 
@@ -8,7 +8,7 @@
     name: &'static str,
     /// Prompts, each with the milliseconds since the start at which it is sent.
     sent: &'static [(u64, u32)],
-    /// When it is asked, and what is left then, to within a token.
+    /// Time of the check, and the expected backlog to within a token.
     at: u64,
     left: u32,
 }
--- a/crates/larkspring-core/tests/fleet_reads.rs
+++ b/crates/larkspring-core/tests/fleet_reads.rs
@@ -1,4 +1,4 @@
-//! The waits of reads of the declared state, against the bound on a change.
+//! Tests of the timing of reads of the declared state against the bound on a change.
 
 use std::time::Duration;
 
@@ -8,7 +8,8 @@
 const BOUNDS_MS: [u64; 6] = [500, 1000, 2000, 3000, 4000, 10_000];
 const KINDS: [Changes; 2] = [Changes::Seldom, Changes::Often];
 
-/// Guards against waits that are each shorter than the bound on a change and add up to more.
+/// Guards against waits that are each shorter than the bound on a change but exceed it in
+/// total.
 #[test]
 fn the_waits_of_each_way_add_up_to_less_than_the_bound() {
     for bound in BOUNDS_MS.map(Duration::from_millis) {
@@ -28,22 +29,23 @@
     }
 }
 
-/// One entry that follows agents and, where none answers well, the store. Times in ms.
+/// An entry that reads from agents and, if no agent's answer is recent enough, from the
+/// store. Times in ms.
 struct Follower {
     pace: AgentPace,
-    /// When the store last answered whoever answered the entry.
+    /// Time of the store's answer on which the entry's state is based.
     heard: f64,
     now: f64,
 }
 
-/// What an agent does from some moment on.
+/// State of an agent from the fault on.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Agent {
-    /// It reads the store as it should.
+    /// Reads from the store normally.
     Well,
-    /// Its reads of this kind are not answered any more; it tells that nothing is new.
+    /// Gets no answers from the store any more, and reports no changes.
     Deaf,
-    /// It does not answer.
+    /// Does not answer.
     Paused,
 }
 
@@ -52,9 +54,9 @@
 }
 
 impl Follower {
-    /// Reads until the state of `change` or of later is known; returns that moment.
+    /// Reads until the state at `change` or later is known; returns the time.
     ///
-    /// Every answer takes as long as it may, and every fault begins at `fault`, when the
+    /// Every answer takes as long as allowed, and every fault begins at `fault`, when the
     /// store last answered the agents.
     fn follow(&mut self, agents: [Agent; MAX_AGENTS], fault: f64, change: f64) -> f64 {
         loop {
@@ -73,7 +75,7 @@
                         self.now += ms(self.pace.answer);
                     }
                 }
-                // Only the first agent is asked to wait.
+                // Only the first agent is asked to wait for a change.
                 wait = 0.0;
             }
             let is_told = self.now - self.heard <= ms(self.pace.oldest);
@@ -89,9 +91,9 @@
     }
 }
 
-/// Guards against a chain of agents and reads that is on time link by link and late as a
-/// whole: faults of both agents and changes at drawn moments, with every link as late as it
-/// may be.
+/// Guards against a sequence of agents and reads in which each step is in time but the
+/// total exceeds the bound: faults of both agents and changes at random times, with every
+/// step as late as allowed.
 #[test]
 fn drawn_faults_of_agents_never_delay_a_change_beyond_its_bound() {
     let mut rng = Rng::with_seed(46);
--- a/crates/larkspring-core/tests/fleet_routes.rs
+++ b/crates/larkspring-core/tests/fleet_routes.rs
@@ -1,4 +1,4 @@
-//! Finding the route of a request and the service of a split route.
+//! Tests of the choice of a route, and of the service of a split route.
 
 use std::time::Duration;
 
--- a/crates/larkspring-core/tests/fleet_urgency.rs
+++ b/crates/larkspring-core/tests/fleet_urgency.rs
@@ -1,4 +1,4 @@
-//! In which order an engine reads prompts.
+//! Tests of the order in which an engine prefills prompts.
 
 use std::time::Duration;
 
--- a/crates/larkspring-core/tests/fleet_versions.rs
+++ b/crates/larkspring-core/tests/fleet_versions.rs
@@ -1,4 +1,4 @@
-//! Versions of adapters.
+//! Tests of the choice of adapter versions.
 
 use std::time::{Duration, Instant};
 
@@ -6,7 +6,7 @@
 
 struct Case {
     name: &'static str,
-    /// Versions as they are named, and when, in milliseconds.
+    /// Announced versions, each with its time in milliseconds.
     named: &'static [(u64, u64)],
     at: u64,
     newest: &'static str,
@@ -72,7 +72,7 @@
     struct Case {
         name: &'static str,
         version: &'static str,
-        /// Milliseconds after version 9 was named, which followed version 7.
+        /// Milliseconds after version 9 was announced, which followed version 7.
         begin_by: Option<u64>,
     }
     let cases = [
@@ -97,8 +97,8 @@
     }
 }
 
-/// Guards against requests that begin on an older version after the operators' bound, because
-/// news of the newer one was late.
+/// Guards against requests that begin on an older version after the operators' bound
+/// because the announcement of the newer version arrived late.
 #[test]
 fn late_news_of_a_version_leaves_less_time_for_the_one_before() {
     const BOUND_MS: u64 = 5000;
--- a/crates/larkspring-core/tests/load/mod.rs
+++ b/crates/larkspring-core/tests/load/mod.rs
@@ -1,7 +1,8 @@
-//! A fleet without a network: entries that choose by what engines told them, agents that
-//! load adapters, and a weight store that all engines share, in steps of a millisecond.
+//! Simulates a fleet without a network in steps of a millisecond: entries that choose by
+//! the engines' reports, agents that load adapters, and a weight store that all engines
+//! share.
 //!
-//! The decisions are those of the library; only time, arrivals and faults are made up here,
+//! The decisions are those of the library. Only time, arrivals and faults are simulated,
 //! the latter two from a seed.
 
 use std::collections::{HashMap, HashSet, VecDeque};
@@ -15,10 +16,10 @@
 use larkspring_core::ids::{AttemptId, Incarnation, Target, TargetHash};
 use larkspring_core::slots::{Action, Eviction, Limits, LoadOrder, Slots, Waiting};
 
-/// Milliseconds since the beginning.
+/// Milliseconds since the start.
 pub type Ms = u64;
 
-/// A load and its faults.
+/// A workload with faults.
 #[derive(Debug, Clone)]
 pub struct Scene {
     pub seed: u64,
@@ -26,13 +27,13 @@
     /// Requests a second, over all engines.
     pub rate: f64,
     pub length: Ms,
-    /// Share of orders that get no answer; half of them are taken all the same.
+    /// Fraction of orders without an answer; half of these are carried out all the same.
     pub lost_orders: f64,
-    /// How long the answer to an order is waited for.
+    /// Bounds on the wait for the answer to an order.
     pub answer: CallBounds,
 }
 
-/// What callers got, and what it took.
+/// Outcomes of the requests, and the number of fetches.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct Outcome {
     pub in_time: u32,
@@ -41,38 +42,40 @@
     pub fetched: u32,
 }
 
-/// Requests that an engine works on at a time, places for adapters, and adapters asked for:
-/// those of the largest deployment known, the last in proportion to its engines.
+/// Batch slots, adapter slots and requested adapters of an engine: those of the largest
+/// known deployment, the last in proportion to its engines.
 const BATCH: u32 = 12;
 const PLACES: usize = 9;
 const ADAPTERS_AN_ENGINE: usize = 324;
-/// How much less often the next adapter is asked for than the one before (power of Zipf).
+/// Exponent of the Zipf distribution of requests over adapters.
 const SKEW: f64 = 1.2;
-/// First token in time; until when a caller waits; time of an answer.
+/// Objective for the first token, deadline of a caller, and duration of an answer.
 const OBJECTIVE: Ms = 600;
 const DEADLINE: Ms = 5_000;
 const ANSWER: Ms = 300;
-/// Time of a fetch, and how many run at full speed for each engine (72 for 74).
+/// Duration of a fetch in ms, and number of fetches at full speed for each engine (72 for
+/// 74).
 const FETCH: f64 = 250.0;
 const AT_ONCE: f64 = 1.0;
-/// Time of a load from the memory of the engine's VM.
+/// Duration of a load from the memory of the engine's VM, in ms.
 const COPY: f64 = 30.0;
-/// Time for an engine to answer its agent, and between two reports.
+/// Time for an engine to answer its agent, and time between two reports.
 const TURN: Ms = 2;
 const REPORT: Ms = 25;
-/// Least time between two tellings of an engine's state.
+/// Shortest interval between two reports to entries.
 const TELL: Ms = 40;
 
 struct Engine {
     id: Incarnation,
     slots: Slots,
     todo: VecDeque<Order>,
-    /// Orders taken, loads on their way with the work left in ms, adapters held.
+    /// Orders carried out, pending loads with the remaining work in ms, and resident
+    /// adapters.
     taken: u64,
     pending: HashMap<Target, f64>,
     held: HashSet<Target>,
     copies: Copies,
-    /// Until when its agent waits for an answer, and what comes then.
+    /// Until when the agent waits for an answer, and the event that follows.
     driver: Option<(Ms, Driven)>,
     time: CallTime,
     report_at: Ms,
@@ -122,13 +125,13 @@
 }
 
 impl Outcome {
-    /// Requests that ended.
+    /// Number of requests that ended.
     pub fn all(&self) -> u32 {
         self.in_time + self.late + self.refused
     }
 }
 
-/// Plays a scene to its end.
+/// Simulates a scene to its end.
 pub fn play(scene: Scene) -> Outcome {
     let mut world = World::new(scene);
     let mut next = 0.0;
@@ -314,7 +317,7 @@
         self.pending.keys().filter(|t| !self.copies.contains(t.hash())).count()
     }
 
-    /// Lets the loads go on.
+    /// Advances the loads.
     fn load(&mut self, speed: f64) {
         let copies = &self.copies;
         let done = self.pending.extract_if(|target, left| {
@@ -331,7 +334,7 @@
         }
     }
 
-    /// Carries out what the agent decides; returns the requests that begin.
+    /// Carries out the agent's decisions; returns the requests that begin.
     fn decide(&mut self, now: Instant, ms: Ms) -> Vec<AttemptId> {
         let mut started = Vec::new();
         for action in self.slots.schedule(now) {
@@ -348,7 +351,7 @@
         started
     }
 
-    /// Gives orders one at a time; returns the fetches that began.
+    /// Sends orders one at a time; returns the number of fetches that began.
     fn drive(&mut self, now: Instant, ms: Ms, mut lost: impl FnMut() -> bool) -> u32 {
         if let Some((at, _)) = &self.driver {
             if *at > ms {
@@ -384,7 +387,7 @@
         }
         let Some(order) = self.todo.pop_front() else { return 0 };
         let is_lost = lost();
-        // Half of the orders without an answer are taken.
+        // Half of the orders without an answer are carried out.
         let takes = !is_lost || lost();
         let fetched = if takes { self.take(&order) } else { 0 };
         let wait = self.time.limit().as_millis() as Ms;
@@ -395,7 +398,7 @@
         fetched
     }
 
-    /// The engine takes an order; returns 1 for a fetch.
+    /// Carries out an order at the engine; returns 1 for a fetch.
     fn take(&mut self, order: &Order) -> u32 {
         if self.known_taken != self.taken {
             return 0;
--- a/crates/larkspring-core/tests/load_copies.rs
+++ b/crates/larkspring-core/tests/load_copies.rs
@@ -1,4 +1,4 @@
-//! Adapters that are asked for in halls which do not hold them.
+//! Tests of when an adapter is also loaded in a hall that does not hold it.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -7,30 +7,32 @@
 use larkspring_core::fleet::choose::copy_pays;
 use larkspring_core::fleet::demand::Demand;
 
-/// The largest deployment known: 13 entries in each of 5 halls, 713 requests a second for
-/// 24,000 adapters by Zipf's law with power 1.2.
+/// The largest known deployment: 13 entries in each of 5 halls, 713 requests a second for
+/// 24,000 adapters, distributed by Zipf's law with exponent 1.2.
 const HALLS: usize = 5;
 const ENTRIES_IN_HALL: usize = 13;
 const RATE: u64 = 713;
 const ADAPTERS: usize = 24_000;
 const SKEW: f64 = 1.2;
 const LENGTH: u64 = 20;
-/// A copy pays if it spares 13 crossings, which is what a fetch costs.
+/// A load in the hall pays off if it saves 13 requests to other halls, the cost of a
+/// fetch.
 const CROSSINGS_A_FETCH: u64 = 13;
 
 #[derive(Debug, Default)]
 struct Copies {
     made: u64,
-    /// Copies of which at least 13 requests made use within 10 s.
+    /// Loads that at least 13 requests used within 10 s.
     paid: u64,
 }
 
-/// Who counts the requests for an adapter that a hall does not hold.
+/// How the requests for an adapter that a hall does not hold are counted.
 #[derive(Clone, Copy, PartialEq)]
 enum Counting {
-    /// Each entry its own, taken for one of as many as there are entries in its hall.
+    /// Each entry counts its own requests and multiplies them by the number of entries in
+    /// its hall.
     Entries,
-    /// The agent that holds the adapter, those of each hall.
+    /// The agent that holds the adapter counts the requests of each hall.
     Agent,
 }
 
--- a/crates/larkspring-core/tests/load_lost_orders.rs
+++ b/crates/larkspring-core/tests/load_lost_orders.rs
@@ -1,4 +1,4 @@
-//! Orders that get no answer while all adapters are still to be fetched.
+//! Tests of lost answers to load orders while all adapters are still to be fetched.
 
 mod load;
 
@@ -7,9 +7,9 @@
 use larkspring_core::call_time::CallBounds;
 use load::{play, Outcome, Scene};
 
-/// The first seconds of a day on which engines leave 3 in 10 orders unanswered: every place
-/// is empty, 9 requests a second come for each engine (712 for 74), and an order is answered
-/// within 2 ms if at all.
+/// The first seconds of a day on which engines leave 3 in 10 orders unanswered. Every
+/// adapter slot is empty, 9 requests a second arrive for each engine (712 for 74), and an
+/// order is answered within 2 ms if at all.
 fn scene(seed: u64, least: u64) -> Scene {
     let most = Duration::from_millis(250);
     Scene {
@@ -34,7 +34,7 @@
 
 #[test]
 fn a_lost_order_holds_up_the_others_for_a_moment_only() {
-    // A bound as long as the longest wait is a fixed one.
+    // With the shortest wait as long as the longest, the wait is fixed.
     let (fixed, learned) = (sum(250), sum(30));
     println!("fixed wait: {fixed:?}\nlearned wait: {learned:?}");
     let missed = |o: Outcome| f64::from(o.late + o.refused) / f64::from(o.all());
--- a/crates/larkspring-core/tests/permits.rs
+++ b/crates/larkspring-core/tests/permits.rs
@@ -1,9 +1,10 @@
-//! A rate that an endpoint names, spent by all entries together.
+//! Tests of an advertised rate limit that all entries share.
 //!
-//! Each play steps through time by milliseconds. Entries are loaded unevenly and send what
-//! they are granted at once or, drawn, as late as a permit holds. Homes are killed, stand
-//! still and are cut off from some entries; rates change and end. All arrivals are recorded
-//! and every span of four seconds is counted.
+//! Each simulation steps through time by milliseconds. Entries are loaded unevenly and
+//! send granted requests at once or, at random, as late as a permit is valid. Permit
+//! issuers are killed, stop responding and are disconnected from some entries; rates
+//! change and end. All arrivals are recorded and every interval of four seconds is
+//! counted.
 
 use std::time::{Duration, Instant};
 
@@ -13,43 +14,43 @@
 
 const RUN: u64 = 7;
 const SPAN_MS: u64 = 4000;
-/// Shares of the bound and of the rate that are aimed at.
+/// Targets as fractions of the bound and of the rate.
 const OF_BOUND: f64 = 0.95;
 const OF_RATE: f64 = 0.95;
 
-/// How entries keep to the rate.
+/// How entries limit their requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Way {
-    /// They don't.
+    /// No limit.
     Free,
-    /// Each by itself, at the whole rate.
+    /// Each entry limits itself to the whole rate.
     Each,
-    /// Each by itself, at an even part of it.
+    /// Each entry limits itself to an equal part of the rate.
     EvenPart,
-    /// By permits of one home.
+    /// Permits of a shared issuer.
     Home,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Load {
     entries: usize,
-    /// The rate that is named, and the requests that come, both a second.
+    /// The advertised rate and the rate of arriving requests, both a second.
     rate: f64,
     asked: f64,
     secs: u64,
-    /// Whether homes fail and permits are used late.
+    /// Whether issuers fail and permits are used late.
     faults: bool,
 }
 
 #[derive(Debug)]
 struct Outcome {
-    /// The most that arrived in a span, as a part of the bound.
+    /// Highest number of arrivals in an interval, as a fraction of the bound.
     of_bound: f64,
-    /// What arrived, as a part of the rate.
+    /// Arrivals, as a fraction of the rate.
     of_rate: f64,
 }
 
-/// A process that grants, or stands still.
+/// A permit issuer, which may be unresponsive.
 #[derive(Default)]
 struct Process {
     permits: Permits,
@@ -62,7 +63,8 @@
     let at = |ms: u64| start + Duration::from_millis(ms);
     let mut homes = [Process::default(), Process::default()];
     let mut own: Vec<Permits> = (0..load.entries).map(|_| Permits::default()).collect();
-    // Up to when an entry asks nobody, and reaches the home no more.
+    // Until when an entry was denied, and until when it is disconnected from the primary
+    // issuer.
     let mut denied = vec![0; load.entries];
     let mut cut = vec![0; load.entries];
     // A few entries get most of the load.
@@ -125,7 +127,7 @@
     Outcome { of_bound: most / bound, of_rate: arrivals.len() as f64 / offered }
 }
 
-/// Kills a home, lets one stand still, or cuts an entry off, now and then.
+/// Occasionally kills an issuer, makes one unresponsive, or disconnects an entry.
 fn fail(rng: &mut Rng, ms: u64, homes: &mut [Process; 2], cut: &mut [u64]) {
     if rng.u32(..1500) > 0 {
         return;
@@ -158,7 +160,8 @@
     Load { entries, rate, asked, secs: 60, faults: false }
 }
 
-/// Ways of keeping to a rate; the ones that no entry can keep alone break the bound.
+/// Compares the ways to limit requests; without any limit, the load must exceed the
+/// bound.
 #[test]
 fn one_account_keeps_the_bound_and_uses_the_rate() {
     let cases = [
@@ -187,8 +190,8 @@
     }
 }
 
-/// Series drawn at random, with homes that are killed, stand still and are cut off, and
-/// permits that are used as late as they hold.
+/// Random series with issuers that are killed, unresponsive or disconnected, and with
+/// permits that are used as late as they are valid.
 #[test]
 fn drawn_series_of_faults_keep_the_bound() {
     let mut rng = Rng::with_seed(11);
@@ -207,10 +210,11 @@
     println!("worst part of the bound {worst:.3}, mean part of the rate {used:.3}");
 }
 
-/// What one answer after the other says of the rate, and what then holds.
+/// Applies the rate headers of consecutive answers and checks the rate in force.
 #[test]
 fn a_rate_holds_as_long_as_it_is_said() {
-    /// An answer that came now, asked for some milliseconds ago; or time that passes.
+    /// An answer that arrives now to a request sent this many milliseconds ago, or time
+    /// that passes.
     #[derive(Clone, Copy)]
     enum Step {
         Says(f64, u64),
@@ -222,7 +226,7 @@
     struct Case {
         name: &'static str,
         steps: &'static [Step],
-        /// The rate in force, and whether it is named.
+        /// The rate in force, and whether it is advertised.
         rate: Option<f64>,
         named: bool,
     }
@@ -308,14 +312,14 @@
     }
 }
 
-/// A home goes by the latest word, and by the lowest where two are about as old.
+/// An issuer applies the latest rate, and the lower one of two of about the same age.
 #[test]
 fn a_home_goes_by_the_latest_word() {
     struct Case {
         name: &'static str,
-        /// Rates, each with its age in milliseconds, told one second after the other.
+        /// Rates, each with its age in milliseconds, recorded at intervals of one second.
         told: &'static [(f64, u64)],
-        /// Permits in the ten seconds after them.
+        /// Permits in the following ten seconds.
         granted: usize,
     }
     let case = |name, told, granted| Case { name, told, granted };
@@ -335,11 +339,11 @@
             let rate = Rate::per_sec(*rate).unwrap();
             permits.told(now, RUN, rate, Duration::from_millis(*age));
         }
-        // Nothing newer is told by those who ask.
+        // The requests for permits carry no newer rate.
         let age = Duration::from_secs(3600);
         let rate = Rate::per_sec(1.0).unwrap();
         let ask = Ask { run: RUN, rate, age, home: Home::First };
-        // What was saved up goes first.
+        // Empties the bucket first.
         while permits.ask(now, &ask) == Verdict::Granted {}
         let granted = (0..10_000).filter(|ms| {
             permits.ask(now + Duration::from_millis(ms + 1), &ask) == Verdict::Granted
--- a/crates/larkspring-core/tests/repeats.rs
+++ b/crates/larkspring-core/tests/repeats.rs
@@ -1,4 +1,4 @@
-//! The shared budget of repeats, in every window.
+//! Tests of the shared retry budget in every window.
 
 use std::time::{Duration, Instant};
 
@@ -8,8 +8,9 @@
 const TERMS: RepeatTerms =
     RepeatTerms { ratio: 0.2, extra: 52.0, window: Duration::from_secs(10) };
 
-/// Random traffic of several entries: in no window do the repeats of all together exceed
-/// the ratio of the requests plus the fixed part.
+/// Guards against retries that amplify an overload: with random traffic of several
+/// entries, the retries of all entries in each window stay within the ratio of the
+/// requests plus the fixed part.
 #[test]
 fn all_entries_together_keep_the_budget() {
     for seed in 0..20 {
@@ -21,7 +22,7 @@
         let (mut requests, mut repeats) = (Vec::new(), Vec::new());
         let mut ms = 0;
         while ms < 40_000 {
-            // Bursts and lulls.
+            // Bursts and pauses.
             ms += if rng.u32(..100) < 2 { rng.u64(500..4000) } else { rng.u64(0..12) };
             let now = start + Duration::from_millis(ms);
             let window = &mut windows[rng.usize(..entries)];
--- a/crates/larkspring-core/tests/route.rs
+++ b/crates/larkspring-core/tests/route.rs
@@ -1,4 +1,4 @@
-//! The choice of an endpoint: candidates, hints, and what is passed over.
+//! Tests of the choice of an endpoint: candidates, load reports and avoided endpoints.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -27,7 +27,7 @@
     Target::new(&format!("tenant-{n}"), "v1").hash()
 }
 
-/// A router over a few endpoints, and what it chooses for one target.
+/// A router with a few endpoints, which chooses for a fixed target.
 struct Choice {
     state: State,
     router: Router,
@@ -72,10 +72,11 @@
     let first = it.choose(&[]).unwrap();
     let second = it.choose(std::slice::from_ref(&first)).unwrap();
     assert_ne!(first.name, second.name);
-    // One that holds the adapter is better than the first that doesn't.
+    // An endpoint that holds the adapter is preferred to a higher-ranked one that does
+    // not,
     it.learn(&second, Hint { resident: vec![hash(1)], ..Hint::default() });
     assert_eq!(it.choose(&[]).unwrap().name, second.name);
-    // Not if its queue is long.
+    // unless its queue is long.
     let resident = vec![hash(1)];
     it.learn(&second, Hint { resident, waiting: 100, ..Hint::default() });
     assert_eq!(it.choose(&[]).unwrap().name, first.name);
@@ -133,7 +134,7 @@
             );
         }
     }
-    // One endpoint more changes the first choice of few targets.
+    // Adding an endpoint changes the first choice of few targets.
     let first = |state: &State, n| {
         let router = Router::new(Policy::Hash);
         let near = state.engines_near(BASE, hash(n));
--- a/crates/larkspring-core/tests/slots.rs
+++ b/crates/larkspring-core/tests/slots.rs
@@ -1,4 +1,4 @@
-//! Behaviour of an agent's slots, one event after another, on a clock of the test.
+//! Tests of an agent's scheduling of one engine, event by event, on a simulated clock.
 
 use std::time::{Duration, Instant};
 
@@ -10,7 +10,7 @@
 const SETTLE: Duration = Duration::from_secs(3);
 const PATIENCE: Duration = Duration::from_secs(2);
 
-/// Slots with their clock.
+/// The scheduling state with its clock.
 struct Agent {
     slots: Slots,
     now: Instant,
@@ -18,7 +18,7 @@
 }
 
 impl Agent {
-    /// An agent past its settling time, whose engine holds `held`.
+    /// An agent that may already unload, whose engine holds `held`.
     fn new(slots: usize, held: &[&str]) -> Self {
         let mut agent = Self::unsettled(slots, held);
         agent.pass(SETTLE);
@@ -53,7 +53,7 @@
         self.slots.engine_is(self.now, &Incarnation::from(run), &held);
     }
 
-    /// Lets a request in; returns its number.
+    /// Admits a request; returns its number.
     fn ask(&mut self, name: &str) -> u64 {
         self.ask_with(name, 5)
     }
@@ -179,7 +179,7 @@
     let cold = agent.ask("b");
     agent.pass(PATIENCE);
     assert_eq!(agent.does(), []);
-    // From now on no request for `a` starts, so that its last pin goes.
+    // From now on no request for `a` starts, so that its last pin is released.
     agent.ask("a");
     assert_eq!(agent.does(), []);
     agent.ended(first);
@@ -218,7 +218,7 @@
     let other = agent.ask("a");
     assert_eq!(agent.does(), [load("a")]);
     agent.loaded("a", true);
-    // The end of a request of the old run releases no pin of the new one.
+    // The end of a request of the old run releases no pin in the new run.
     assert_eq!(agent.does(), [Action::Start(other)]);
     agent.ended(user);
     assert_eq!(agent.slots.pins(&target("a")), 1);
@@ -297,7 +297,7 @@
         assert_eq!(agent.does(), [Action::Start(id)]);
         agent.ended(id);
     }
-    // It is unloaded, as the other one is in use, and comes back.
+    // The adapter is unloaded, as the other one is in use, and is loaded again.
     let user = agent.ask("other");
     assert_eq!(agent.does(), [Action::Start(user)]);
     agent.ask("third");
--- a/crates/larkspring-core/tests/slots_fresh.rs
+++ b/crates/larkspring-core/tests/slots_fresh.rs
@@ -1,4 +1,5 @@
-//! Slots of an engine whose reports are fresh and that holds one version of an adapter.
+//! Tests of the scheduling for an engine with up-to-date reports and one version of each
+//! adapter.
 
 use std::time::{Duration, Instant};
 
@@ -153,8 +154,9 @@
     assert_eq!(slots.free_places(), 2);
 }
 
-/// Random requests, loads that fail, restarts: the engine is never ordered to hold more
-/// adapters than it has places for, nor two versions of one, nor to drop one in use.
+/// Guards against orders that an engine can't carry out. With random requests, failed
+/// loads and restarts, the engine is never ordered to hold more adapters than it has
+/// slots or two versions of an adapter, nor to unload an adapter in use.
 #[test]
 fn no_order_breaks_the_engine() {
     for seed in 0..200 {
@@ -243,7 +245,7 @@
 
     fn fault(&mut self) {
         if self.rng.bool() {
-            // Loads under way fail.
+            // Pending loads fail.
             self.pending.clear();
         } else {
             self.runs += 1;
--- a/crates/larkspring-core/tests/slots_loading.rs
+++ b/crates/larkspring-core/tests/slots_loading.rs
@@ -1,4 +1,5 @@
-//! In which order an engine's adapters are loaded, and how many are fetched at a time.
+//! Tests of the order of an engine's adapter loads, and of the limit on concurrent
+//! fetches.
 
 use std::time::{Duration, Instant};
 
@@ -10,7 +11,7 @@
 /// A request that waits for an adapter.
 struct Asked {
     adapter: &'static str,
-    /// Milliseconds until its answer is late.
+    /// Milliseconds until the answer is late.
     due: u64,
     worth: f64,
 }
@@ -117,11 +118,11 @@
     }
 }
 
-/// An engine that fetches adapters for ever; each fetch takes as long as the store says.
+/// An engine that fetches adapters continuously; the duration of each fetch is given.
 struct Engine {
     slots: Slots,
     now: Instant,
-    /// Fetches that are under way, and their ends.
+    /// Fetches in progress, with their ends.
     fetching: Vec<(Target, Instant)>,
     next: usize,
 }
@@ -135,8 +136,8 @@
         Self { slots, now, fetching: Vec::new(), next: 0 }
     }
 
-    /// Lets time pass in which fetches take `spent`; returns how many were under way on
-    /// average.
+    /// Advances time while fetches take `spent`; returns the mean number of concurrent
+    /// fetches.
     fn pass(&mut self, time: Duration, spent: Duration) -> f64 {
         let (mut sum, mut steps) = (0, 0);
         let end = self.now + time;
@@ -196,14 +197,15 @@
     let copied = target("copied");
     let held = [copied.clone()];
     engine.slots.engine_is_now(engine.now, &run(), &held, &[], |_| true);
-    // The store is full, and the engine's only fetch is under way.
+    // The store is overloaded, and the engine's only permitted fetch is in progress.
     engine.pass(Duration::from_secs(2), quick);
     engine.pass(Duration::from_secs(4), 8 * quick);
     let now = engine.now;
     let fetching: Vec<_> = engine.fetching.iter().map(|(t, _)| t.clone()).collect();
     let resident: Vec<_> =
         engine.slots.held().0.into_iter().filter(|t| **t != copied).cloned().collect();
-    // The engine lost the adapter's place meanwhile, but not the copy on its VM.
+    // The engine has unloaded the adapter meanwhile, but its VM still has the host-memory
+    // copy.
     engine.slots.engine_is_now(now, &run(), &resident, &fetching, |_| true);
     let req = waiting(now, &asked("copied", 600, 100.0));
     engine.slots.admit(now, AttemptId::MAX, req).expect("admitted");
--- a/crates/larkspring-core/tests/slots_random.rs
+++ b/crates/larkspring-core/tests/slots_random.rs
@@ -1,4 +1,5 @@
-//! Random events, faults and clock steps against what must hold for an agent's slots.
+//! Checks the invariants of an agent's scheduling under random events, faults and clock
+//! steps.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -11,7 +12,7 @@
 const SLOTS: usize = 3;
 const MAX_RUNNING: usize = 4;
 const ADAPTERS: u8 = 6;
-/// Reports show the engine as it was up to this many events ago.
+/// Reports show the state of the engine up to this many events ago.
 const REPORT_LAG: usize = 3;
 
 #[derive(Debug, Clone)]
@@ -44,7 +45,7 @@
     ]
 }
 
-/// The engine as it is, beside the slots that only hear of it.
+/// The actual state of the engine, next to the scheduling state that is based on reports.
 struct World {
     slots: Slots,
     now: Instant,
@@ -178,8 +179,8 @@
             match action {
                 Action::Start(id) => {
                     let a = self.waiting.remove(&id).expect("only waiting ones start");
-                    // The engine would refuse one that it does not hold; the agent then
-                    // hears that it is lost.
+                    // The engine refuses a request for an adapter that it does not hold;
+                    // the agent then records the adapter as missing.
                     if !self.loaded.contains(&a) {
                         self.slots.lost(&target(a));
                         self.slots.ended(self.now, id);
