--- a/crates/larkspring-core/tests/availability.rs
+++ b/crates/larkspring-core/tests/availability.rs
@@ -9,11 +9,11 @@
 #[derive(Debug, Clone, Copy)]
 enum Step {
     /// An answer says that the endpoint is draining.
-    Leaves,
+    Drain,
     /// A refusal asks for a backoff of this many seconds.
-    Rest(u64),
+    Backoff(u64),
     /// An answer without notice, or a refusal without a time.
-    Silent,
+    NoNotice,
     /// The platform lists the run with this start.
     Listed(Option<u64>),
     /// Another run of the same name has begun.
@@ -24,163 +24,188 @@
 
 use Step::*;
 
-/// The expected state.
+/// The availability of the run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Is {
+enum State {
     Open,
     /// Backing off for this many seconds from now.
-    Resting(u64),
-    Leaving,
+    BackingOff(u64),
+    Draining,
 }
 
 struct Case {
     name: &'static str,
     steps: &'static [Step],
-    is: Is,
+    expected: State,
 }
 
 /// Applies steps without a spread of the end of a backoff.
-fn play(steps: &[Step]) -> (Availability, Instant) {
-    let (mut said, mut now) = (Availability::default(), Instant::now());
+fn simulate(steps: &[Step]) -> (Availability, Instant) {
+    let (mut availability, mut now) = (Availability::default(), Instant::now());
     for step in steps {
-        let hear = |said: &mut Availability, notice| said.hear(now, now, notice, 0.0);
+        let apply_step = |availability: &mut Availability, notice| {
+            availability.hear(now, now, notice, 0.0)
+        };
         match *step {
-            Leaves => drop(hear(&mut said, Notice::LEAVING)),
-            Rest(secs) => {
+            Drain => drop(apply_step(&mut availability, Notice::LEAVING)),
+            Backoff(secs) => {
                 let rest = Some(Duration::from_secs(secs));
-                hear(&mut said, Notice { rest, ..Notice::default() });
+                apply_step(&mut availability, Notice { rest, ..Notice::default() });
             }
-            Silent => drop(hear(&mut said, Notice::default())),
-            Listed(start) => said.listed(start),
+            NoNotice => drop(apply_step(&mut availability, Notice::default())),
+            Listed(start) => availability.listed(start),
             Renewed => {
                 now += Duration::from_nanos(1);
-                said.renewed(now);
+                availability.renewed(now);
             }
             Wait(secs) => now += Duration::from_secs(secs),
         }
     }
-    (said, now)
+    (availability, now)
 }
 
-fn is(said: &Availability, now: Instant) -> Is {
-    match said.rests_for(now) {
-        _ if said.leaves() => Is::Leaving,
-        Some(left) => Is::Resting(left.as_secs_f64().round() as u64),
-        None => Is::Open,
+fn state_of(availability: &Availability, now: Instant) -> State {
+    match availability.rests_for(now) {
+        _ if availability.leaves() => State::Draining,
+        Some(left) => State::BackingOff(left.as_secs_f64().round() as u64),
+        None => State::Open,
     }
 }
 
 #[test]
-fn what_was_said_holds_until_it_ends_or_the_run_does() {
-    let case = |name, steps, is| Case { name, steps, is };
+fn notices_apply_until_they_expire_or_the_run_ends() {
+    let case = |name, steps, expected| Case { name, steps, expected };
     const HOUR: u64 = MAX_BACKOFF.as_secs();
     let cases = [
-        case("nothing", &[Silent], Is::Open),
-        case("it leaves", &[Leaves], Is::Leaving),
-        case("for good", &[Leaves, Wait(100_000), Silent], Is::Leaving),
-        case("listed as ready again", &[Leaves, Listed(None)], Is::Leaving),
-        case("listed with its start", &[Leaves, Listed(Some(5))], Is::Leaving),
-        case("the same start", &[Listed(Some(5)), Leaves, Listed(Some(5))], Is::Leaving),
-        case("an older list", &[Listed(Some(5)), Leaves, Listed(Some(4))], Is::Leaving),
-        case("a later start", &[Listed(Some(5)), Leaves, Listed(Some(6))], Is::Open),
+        case("nothing", &[NoNotice], State::Open),
+        case("it leaves", &[Drain], State::Draining),
+        case("for good", &[Drain, Wait(100_000), NoNotice], State::Draining),
+        case("listed as ready again", &[Drain, Listed(None)], State::Draining),
+        case("listed with its start", &[Drain, Listed(Some(5))], State::Draining),
+        case(
+            "the same start",
+            &[Listed(Some(5)), Drain, Listed(Some(5))],
+            State::Draining,
+        ),
+        case(
+            "an older list",
+            &[Listed(Some(5)), Drain, Listed(Some(4))],
+            State::Draining,
+        ),
+        case("a later start", &[Listed(Some(5)), Drain, Listed(Some(6))], State::Open),
         case(
             "a later start after one that came with the mark",
-            &[Leaves, Listed(Some(5)), Listed(Some(6))],
-            Is::Open,
+            &[Drain, Listed(Some(5)), Listed(Some(6))],
+            State::Open,
+        ),
+        case("its agent names another run", &[Drain, Renewed], State::Open),
+        case("that one leaves too", &[Drain, Renewed, Drain], State::Draining),
+        case("rest", &[Backoff(3)], State::BackingOff(3)),
+        case("within it", &[Backoff(3), Wait(2)], State::BackingOff(1)),
+        case("after it", &[Backoff(3), Wait(3)], State::Open),
+        case("none", &[Backoff(0)], State::Open),
+        case("a longer one", &[Backoff(1), Backoff(3), Wait(2)], State::BackingOff(1)),
+        case("a shorter one", &[Backoff(3), Backoff(1), Wait(2)], State::BackingOff(1)),
+        case(
+            "a refusal without a time",
+            &[Backoff(3), NoNotice, Wait(1)],
+            State::BackingOff(2),
         ),
-        case("its agent names another run", &[Leaves, Renewed], Is::Open),
-        case("that one leaves too", &[Leaves, Renewed, Leaves], Is::Leaving),
-        case("rest", &[Rest(3)], Is::Resting(3)),
-        case("within it", &[Rest(3), Wait(2)], Is::Resting(1)),
-        case("after it", &[Rest(3), Wait(3)], Is::Open),
-        case("none", &[Rest(0)], Is::Open),
-        case("a longer one", &[Rest(1), Rest(3), Wait(2)], Is::Resting(1)),
-        case("a shorter one", &[Rest(3), Rest(1), Wait(2)], Is::Resting(1)),
-        case("a refusal without a time", &[Rest(3), Silent, Wait(1)], Is::Resting(2)),
-        case("rest of another run", &[Rest(3), Renewed], Is::Open),
-        case("listed anew", &[Rest(3), Listed(Some(1))], Is::Resting(3)),
-        case("a year", &[Rest(31_536_000), Wait(10)], Is::Resting(HOUR - 10)),
-        case("no end", &[Rest(u64::MAX / 2), Wait(HOUR)], Is::Open),
-        case("rests and leaves", &[Rest(3), Leaves, Wait(4)], Is::Leaving),
+        case("rest of another run", &[Backoff(3), Renewed], State::Open),
+        case("listed anew", &[Backoff(3), Listed(Some(1))], State::BackingOff(3)),
+        case("a year", &[Backoff(31_536_000), Wait(10)], State::BackingOff(HOUR - 10)),
+        case("no end", &[Backoff(u64::MAX / 2), Wait(HOUR)], State::Open),
+        case("rests and leaves", &[Backoff(3), Drain, Wait(4)], State::Draining),
     ];
     for c in cases {
-        let (said, now) = play(c.steps);
-        assert_eq!(is(&said, now), c.is, "{}", c.name);
-        assert_eq!(said.is_open(now), c.is == Is::Open, "{}", c.name);
+        let (availability, now) = simulate(c.steps);
+        assert_eq!(state_of(&availability, now), c.expected, "{}", c.name);
+        assert_eq!(availability.is_open(now), c.expected == State::Open, "{}", c.name);
     }
 }
 
 #[test]
-fn only_what_changes_is_news() {
+fn only_changes_are_reported() {
     let now = Instant::now();
-    let mut said = Availability::default();
-    let rest = Notice { rest: Some(Duration::from_secs(2)), ..Notice::default() };
-    assert_eq!(said.hear(now, now, rest, 0.0), News { rests: true, ..News::default() });
-    assert_eq!(said.hear(now, now, rest, 1.0), News::default());
-    let leaves = News { leaves: true, ..News::default() };
-    assert_eq!(said.hear(now, now, Notice::LEAVING, 0.0), leaves);
-    assert_eq!(said.hear(now, now, Notice::LEAVING, 0.0), News::default());
+    let mut availability = Availability::default();
+    let backoff = Notice { rest: Some(Duration::from_secs(2)), ..Notice::default() };
+    assert_eq!(
+        availability.hear(now, now, backoff, 0.0),
+        News { rests: true, ..News::default() }
+    );
+    assert_eq!(availability.hear(now, now, backoff, 1.0), News::default());
+    let draining = News { leaves: true, ..News::default() };
+    assert_eq!(availability.hear(now, now, Notice::LEAVING, 0.0), draining);
+    assert_eq!(availability.hear(now, now, Notice::LEAVING, 0.0), News::default());
 }
 
 /// VMs return one after the other: none before the end of the backoff, all soon after.
 #[test]
-fn the_end_of_a_rest_is_spread() {
+fn end_of_a_backoff_is_spread() {
     let now = Instant::now();
-    let rest = Duration::from_secs(10);
-    let ends = [0.0, 0.25, 0.5, 1.0].map(|share| {
-        let mut said = Availability::default();
-        let notice = Notice { rest: Some(rest), ..Notice::default() };
-        said.hear(now, now, notice, share);
-        said.rests_for(now).unwrap()
+    let backoff = Duration::from_secs(10);
+    let backoff_ends = [0.0, 0.25, 0.5, 1.0].map(|share| {
+        let mut availability = Availability::default();
+        let notice = Notice { rest: Some(backoff), ..Notice::default() };
+        availability.hear(now, now, notice, share);
+        availability.rests_for(now).unwrap()
     });
-    assert!(ends.is_sorted() && ends[0] == rest && ends[3] <= rest.mul_f64(1.1));
-    assert!(ends.windows(2).all(|two| two[0] < two[1]));
+    assert!(
+        backoff_ends.is_sorted()
+            && backoff_ends[0] == backoff
+            && backoff_ends[3] <= backoff.mul_f64(1.1)
+    );
+    assert!(backoff_ends.windows(2).all(|two| two[0] < two[1]));
 }
 
 /// Random steps, compared with a plain record of all notices.
 #[test]
-fn drawn_series_of_words_agree_with_a_record_of_all() {
+fn random_notices_agree_with_a_full_record() {
     let mut rng = fastrand::Rng::with_seed(7);
     for series in 0..20_000 {
         let steps: Vec<_> = (0..rng.usize(1..12))
             .map(|_| match rng.u32(..10) {
-                0 => Leaves,
-                1 | 2 => Rest(rng.u64(..5)),
-                3 => Silent,
+                0 => Drain,
+                1 | 2 => Backoff(rng.u64(..5)),
+                3 => NoNotice,
                 4 => Listed(None),
                 5 => Listed(Some(rng.u64(1..4))),
                 6 => Renewed,
                 _ => Wait(rng.u64(..4)),
             })
             .collect();
-        let (said, now) = play(&steps);
-        assert_eq!(is(&said, now), expected(&steps), "series {series}: {steps:?}");
+        let (availability, now) = simulate(&steps);
+        assert_eq!(
+            state_of(&availability, now),
+            expected(&steps),
+            "series {series}: {steps:?}"
+        );
     }
 }
 
 /// Computes the same state from all notices since the last run began.
-fn expected(steps: &[Step]) -> Is {
-    let (mut at, mut start, mut leaves) = (0, None, false);
-    let mut ends = vec![0];
+fn expected(steps: &[Step]) -> State {
+    let (mut at, mut start, mut is_draining) = (0, None, false);
+    let mut backoff_ends = vec![0];
     for step in steps {
         match *step {
-            Leaves => leaves = true,
-            Rest(secs) => ends.push(at + secs),
+            Drain => is_draining = true,
+            Backoff(secs) => backoff_ends.push(at + secs),
             Wait(secs) => at += secs,
             Listed(Some(now)) => {
                 if start.is_some_and(|before| now > before) {
-                    (leaves, ends) = (false, vec![0]);
+                    (is_draining, backoff_ends) = (false, vec![0]);
                 }
                 start = start.max(Some(now));
             }
-            Renewed => (leaves, ends) = (false, vec![0]),
-            Silent | Listed(None) => {}
+            Renewed => (is_draining, backoff_ends) = (false, vec![0]),
+            NoNotice | Listed(None) => {}
         }
     }
-    let end = ends.into_iter().max().unwrap_or_default();
+    let end = backoff_ends.into_iter().max().unwrap_or_default();
     match end.checked_sub(at) {
-        _ if leaves => Is::Leaving,
-        Some(left @ 1..) => Is::Resting(left),
-        _ => Is::Open,
+        _ if is_draining => State::Draining,
+        Some(left @ 1..) => State::BackingOff(left),
+        _ => State::Open,
     }
 }
--- a/crates/larkspring-core/tests/budget.rs
+++ b/crates/larkspring-core/tests/budget.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn no_more_than_the_rate_and_the_concurrency() {
+fn grants_keep_the_rate_and_the_concurrency() {
     struct Case {
         rate: f64,
         concurrency: usize,
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn loads_that_go_on_hold_the_others_back() {
+fn loads_in_progress_block_others() {
     let mut budget = budget(100.0, 2);
     let start = Instant::now();
     for load in ["a", "b", "c"] {
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn load_whose_agent_died_is_forgotten() {
+fn load_of_a_dead_agent_times_out() {
     let mut budget = budget(100.0, 1);
     let start = Instant::now();
     budget.ask(start, "dead".into(), 5, 1);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn pressing_loads_go_first_and_none_waits_for_ever() {
+fn urgent_loads_go_first_without_starvation() {
     struct Case {
         name: &'static str,
         /// Priority, number of waiting requests and seconds waited, of the first and the
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn next_look_is_never_now() {
+fn next_check_is_in_the_future() {
     let mut budget = budget(8.0, 2);
     let start = Instant::now();
     assert_eq!(budget.next(start), None);
--- a/crates/larkspring-core/tests/fleet_attempt.rs
+++ b/crates/larkspring-core/tests/fleet_attempt.rs
@@ -38,7 +38,7 @@
 const RESUMABLE: RouteClass = RouteClass::Stream { resumable: true };
 
 #[test]
-fn each_end_has_its_next_step() {
+fn each_attempt_end_has_its_next_step() {
     let cases = [
         ("once, nothing sent", ONCE, AttemptEnd::Unsent, FIRST, 1, true, Next::Elsewhere),
         (
@@ -168,7 +168,7 @@
 /// not run twice, against answering "not run" for a request that may have run, and
 /// against endless retries.
 #[test]
-fn no_combination_breaks_a_promise() {
+fn every_combination_keeps_the_retry_rules() {
     for class in CLASSES {
         for end in ENDS {
             for ran in [false, true] {
--- a/crates/larkspring-core/tests/fleet_choose.rs
+++ b/crates/larkspring-core/tests/fleet_choose.rs
@@ -11,7 +11,7 @@
 use larkspring_core::fleet::quality::Quality;
 use larkspring_core::ids::{AdapterId, Incarnation};
 
-const VIEW: View = View {
+const RESIDENT: View = View {
     same_hall: true,
     holding: Holding::Resident,
     running: 0,
@@ -26,9 +26,9 @@
     avoided: false,
     rated: false,
 };
-const FAR: View = View { same_hall: false, ..VIEW };
-const COPIED: View = View { holding: Holding::Copied, ..VIEW };
-const ABSENT: View = View { holding: Holding::Absent, ..VIEW };
+const OTHER_HALL: View = View { same_hall: false, ..RESIDENT };
+const COPIED: View = View { holding: Holding::Copied, ..RESIDENT };
+const ABSENT: View = View { holding: Holding::Absent, ..RESIDENT };
 
 struct Case {
     name: &'static str,
@@ -37,8 +37,8 @@
 }
 
 #[test]
-fn adapters_are_placed_by_the_least_cost() {
-    let deaf = View { can_load: false, ..ABSENT };
+fn adapter_requests_go_to_the_least_cost() {
+    let no_agent = View { can_load: false, ..ABSENT };
     let cases = [
         Case { name: "none", views: vec![], chosen: None },
         Case {
@@ -48,32 +48,32 @@
         },
         Case {
             name: "a holder before the home",
-            views: vec![ABSENT, VIEW],
+            views: vec![ABSENT, RESIDENT],
             chosen: Some(1),
         },
         Case {
             name: "a far holder before a load",
-            views: vec![ABSENT, FAR],
+            views: vec![ABSENT, OTHER_HALL],
             chosen: Some(1),
         },
         Case {
             name: "a near holder before a far one",
-            views: vec![FAR, VIEW],
+            views: vec![OTHER_HALL, RESIDENT],
             chosen: Some(1),
         },
         Case {
             name: "one on its way before a new load",
-            views: vec![ABSENT, View { holding: Holding::Loading, ..VIEW }],
+            views: vec![ABSENT, View { holding: Holding::Loading, ..RESIDENT }],
             chosen: Some(1),
         },
         Case {
             name: "a full batch before nobody",
-            views: vec![View { running: 40, ..VIEW }],
+            views: vec![View { running: 40, ..RESIDENT }],
             chosen: Some(0),
         },
         Case {
             name: "a far holder before a full batch",
-            views: vec![View { running: 40, ..VIEW }, FAR],
+            views: vec![View { running: 40, ..RESIDENT }, OTHER_HALL],
             chosen: Some(1),
         },
         Case {
@@ -86,15 +86,19 @@
             views: vec![View { loads_ahead: 4, ..ABSENT }, ABSENT],
             chosen: Some(1),
         },
-        Case { name: "no load without an agent", views: vec![deaf, deaf], chosen: None },
+        Case {
+            name: "no load without an agent",
+            views: vec![no_agent, no_agent],
+            chosen: None,
+        },
         Case {
             name: "a holder without an agent",
-            views: vec![deaf, View { can_load: false, ..VIEW }],
+            views: vec![no_agent, View { can_load: false, ..RESIDENT }],
             chosen: Some(1),
         },
         Case {
             name: "not one that no connection came up to",
-            views: vec![View { avoided: true, ..VIEW }, ABSENT],
+            views: vec![View { avoided: true, ..RESIDENT }, ABSENT],
             chosen: Some(1),
         },
         Case {
@@ -112,7 +116,7 @@
         },
         Case {
             name: "a holder whose rate is limited",
-            views: vec![ABSENT, View { rated: true, ..VIEW }],
+            views: vec![ABSENT, View { rated: true, ..RESIDENT }],
             chosen: Some(1),
         },
         Case {
@@ -122,50 +126,53 @@
         },
         Case {
             name: "a holder before a copy on the VM",
-            views: vec![COPIED, FAR],
+            views: vec![COPIED, OTHER_HALL],
             chosen: Some(1),
         },
         Case {
             name: "a copy on the VM before a holder that is busy",
-            views: vec![View { running: 40, ..VIEW }, COPIED],
+            views: vec![View { running: 40, ..RESIDENT }, COPIED],
             chosen: Some(1),
         },
         Case {
             name: "a busy holder before a fetch, for a short prompt",
-            views: vec![View { running: 7, reading: 14_000, ..VIEW }, ABSENT],
+            views: vec![View { running: 7, reading: 14_000, ..RESIDENT }, ABSENT],
             chosen: Some(0),
         },
         Case {
             name: "a fetch before a busy holder, for a long prompt",
             views: vec![
-                View { running: 7, reading: 14_000, prompt_tokens: 9000, ..VIEW },
+                View { running: 7, reading: 14_000, prompt_tokens: 9000, ..RESIDENT },
                 View { prompt_tokens: 9000, ..ABSENT },
             ],
             chosen: Some(1),
         },
         Case {
             name: "not behind a long prompt",
-            views: vec![View { reading: 9000, ..VIEW }, FAR],
+            views: vec![View { reading: 9000, ..RESIDENT }, OTHER_HALL],
             chosen: Some(1),
         },
         Case {
             name: "a long prompt goes where little runs",
             views: vec![
-                View { running: 6, prompt_tokens: 9000, ..VIEW },
-                View { running: 1, prompt_tokens: 9000, ..FAR },
+                View { running: 6, prompt_tokens: 9000, ..RESIDENT },
+                View { running: 1, prompt_tokens: 9000, ..OTHER_HALL },
             ],
             chosen: Some(1),
         },
         Case {
             name: "a short prompt stays near",
-            views: vec![View { running: 6, ..VIEW }, View { running: 1, ..FAR }],
+            views: vec![
+                View { running: 6, ..RESIDENT },
+                View { running: 1, ..OTHER_HALL },
+            ],
             chosen: Some(0),
         },
         Case {
             name: "the one that has read the prompt",
             views: vec![
-                View { prompt_tokens: 6000, ..VIEW },
-                View { prompt_tokens: 500, ..VIEW },
+                View { prompt_tokens: 6000, ..RESIDENT },
+                View { prompt_tokens: 500, ..RESIDENT },
             ],
             chosen: Some(1),
         },
@@ -176,20 +183,27 @@
 }
 
 #[test]
-fn plain_calls_go_near_until_it_costs() {
+fn plain_requests_stay_in_the_hall_until_it_costs_more() {
     let answer = Duration::from_millis(30);
-    let busy = |running| View { running, slots: 6, ..VIEW };
+    let busy = |running| View { running, slots: 6, ..RESIDENT };
     let cases = [
-        Case { name: "near", views: vec![FAR, VIEW], chosen: Some(1) },
-        Case { name: "near though busier", views: vec![FAR, busy(4)], chosen: Some(1) },
+        Case { name: "near", views: vec![OTHER_HALL, RESIDENT], chosen: Some(1) },
+        Case {
+            name: "near though busier",
+            views: vec![OTHER_HALL, busy(4)],
+            chosen: Some(1),
+        },
         Case {
             name: "far where near is full",
-            views: vec![FAR, busy(6)],
+            views: vec![OTHER_HALL, busy(6)],
             chosen: Some(0),
         },
         Case {
             name: "far where near fails",
-            views: vec![FAR, View { quality: Duration::from_millis(100), ..VIEW }],
+            views: vec![
+                OTHER_HALL,
+                View { quality: Duration::from_millis(100), ..RESIDENT },
+            ],
             chosen: Some(0),
         },
     ];
@@ -199,7 +213,7 @@
 }
 
 #[test]
-fn homes_agree_and_stay() {
+fn home_endpoints_are_consistent_and_stable() {
     let ids: Vec<Incarnation> =
         (0..18).map(|n| format!("run-{n}").as_str().into()).collect();
     let home = |target: u64, ids: &[Incarnation]| {
@@ -225,7 +239,7 @@
 }
 
 #[test]
-fn the_latest_copies_are_remembered() {
+fn latest_host_copies_are_kept() {
     let mut copies = Copies::default();
     for target in 0..100 {
         copies.leave(target);
@@ -241,7 +255,7 @@
 }
 
 #[test]
-fn failures_cost_and_are_forgotten() {
+fn failures_add_cost_and_decay() {
     let start = Instant::now();
     let mut quality = Quality::new(start);
     quality.bad(start);
@@ -278,7 +292,7 @@
 }
 
 #[test]
-fn mechanisms_are_switched_off_one_by_one() {
+fn mechanisms_are_disabled_individually() {
     let off = Without::from_iter([Mechanism::HomeRank, Mechanism::Retiring]);
     let cases = [
         (Mechanism::HomeRank, false),
@@ -293,7 +307,7 @@
 }
 
 #[test]
-fn without_homes_a_near_endpoint_goes_before_the_home() {
+fn without_home_ranks_an_endpoint_in_the_hall_is_preferred() {
     let far_home = View { same_hall: false, ..ABSENT };
     let near = View { loads_ahead: 0, ..ABSENT };
     // Two ranks cost more than another hall.
--- a/crates/larkspring-core/tests/fleet_members.rs
+++ b/crates/larkspring-core/tests/fleet_members.rs
@@ -21,73 +21,82 @@
 }
 
 enum Step {
-    Put(&'static str, bool),
+    Listed(&'static str, bool),
     /// An endpoint is missing; the flag: just after an outage.
-    Gone(&'static str, bool),
+    Missing(&'static str, bool),
     /// A complete list; the flag: just after an outage.
     List(&'static [&'static str], bool),
     /// This many milliseconds pass.
-    Pass(u64),
+    Wait(u64),
 }
 
 struct Case {
     name: &'static str,
     steps: &'static [Step],
-    left: &'static [&'static str],
+    remaining: &'static [&'static str],
 }
 
 #[test]
 fn members_follow_the_list() {
-    use Step::{Gone, List, Pass, Put};
+    use Step::{List, Listed, Missing, Wait};
     let cases = [
-        Case { name: "comes", steps: &[Put("a", false)], left: &["a"] },
-        Case { name: "goes", steps: &[Put("a", false), Gone("a", false)], left: &[] },
+        Case { name: "comes", steps: &[Listed("a", false)], remaining: &["a"] },
+        Case {
+            name: "goes",
+            steps: &[Listed("a", false), Missing("a", false)],
+            remaining: &[],
+        },
         Case {
             name: "missing after an outage is kept",
-            steps: &[Put("a", false), Gone("a", true), Pass(1900)],
-            left: &["a"],
+            steps: &[Listed("a", false), Missing("a", true), Wait(1900)],
+            remaining: &["a"],
         },
         Case {
             name: "still missing after the grace is gone",
-            steps: &[Put("a", false), Gone("a", true), Pass(2100)],
-            left: &[],
+            steps: &[Listed("a", false), Missing("a", true), Wait(2100)],
+            remaining: &[],
         },
         Case {
             name: "back within the grace stays",
             steps: &[
-                Put("a", false),
-                Gone("a", true),
-                Pass(500),
-                Put("a", false),
-                Pass(5000),
+                Listed("a", false),
+                Missing("a", true),
+                Wait(500),
+                Listed("a", false),
+                Wait(5000),
             ],
-            left: &["a"],
+            remaining: &["a"],
         },
         Case {
             name: "a leaving one is not kept",
-            steps: &[Put("a", true), Gone("a", true)],
-            left: &[],
+            steps: &[Listed("a", true), Missing("a", true)],
+            remaining: &[],
         },
         Case {
             name: "a list without it",
-            steps: &[Put("a", false), Put("b", false), List(&["b"], false)],
-            left: &["b"],
+            steps: &[Listed("a", false), Listed("b", false), List(&["b"], false)],
+            remaining: &["b"],
         },
         Case {
             name: "a list without it after an outage",
-            steps: &[Put("a", false), Put("b", false), List(&["b"], true), Pass(100)],
-            left: &["a", "b"],
+            steps: &[
+                Listed("a", false),
+                Listed("b", false),
+                List(&["b"], true),
+                Wait(100),
+            ],
+            remaining: &["a", "b"],
         },
         Case {
             name: "lists do not prolong the grace",
             steps: &[
-                Put("a", false),
+                Listed("a", false),
                 List(&[], true),
-                Pass(1500),
+                Wait(1500),
                 List(&[], true),
-                Pass(600),
+                Wait(600),
             ],
-            left: &[],
+            remaining: &[],
         },
     ];
     for c in cases {
@@ -96,24 +105,25 @@
         for step in c.steps {
             let keep = |outage: bool| outage.then_some(now + LAPSE_GRACE);
             match step {
-                Put(id, leaving) => {
+                Listed(id, leaving) => {
                     _ = members.put(endpoint(id, *leaving), StorePoint::default());
                 }
-                Gone(id, outage) => members.remove(&(*id).into(), keep(*outage)),
+                Missing(id, outage) => members.remove(&(*id).into(), keep(*outage)),
                 List(ids, outage) => {
                     let listed = |id: &&str| (endpoint(id, false), StorePoint::default());
                     let list = ids.iter().map(listed).collect();
                     members.replace(list, keep(*outage));
                 }
-                Pass(ms) => {
+                Wait(ms) => {
                     now += Duration::from_millis(*ms);
                     members.expire(now);
                 }
             }
         }
-        let mut left: Vec<_> = members.endpoints().map(|e| e.id.to_string()).collect();
-        left.sort();
-        assert_eq!(left, c.left, "{}", c.name);
+        let mut remaining: Vec<_> =
+            members.endpoints().map(|e| e.id.to_string()).collect();
+        remaining.sort();
+        assert_eq!(remaining, c.remaining, "{}", c.name);
     }
 }
 
@@ -133,7 +143,7 @@
     revision: u64,
     listed: [Option<Entry>; RUNS],
     /// Start and draining flag of each endpoint; `None` if it ended.
-    said: [Option<(StartMs, bool)>; RUNS],
+    actual: [Option<(StartMs, bool)>; RUNS],
     starts: StartMs,
     /// Revision of the copy from which the store was restored.
     copied: u64,
@@ -146,12 +156,12 @@
         self.revision += 1;
         let written = self.revision;
         let entry = |(start, leaving)| Entry { start, leaving, written };
-        self.listed[n] = self.said[n].map(entry);
+        self.listed[n] = self.actual[n].map(entry);
     }
 
     fn begin(&mut self, n: usize) {
         self.starts += 1;
-        self.said[n] = Some((self.starts, false));
+        self.actual[n] = Some((self.starts, false));
     }
 
     fn at(&self) -> StorePoint {
@@ -175,7 +185,7 @@
 /// restored store lists it as ready. Random series of starts, drains, ends, copies,
 /// restores and reads.
 #[test]
-fn drawn_restores_never_bring_back_what_left() {
+fn random_restores_never_bring_back_ended_or_draining_runs() {
     let mut copied = 0;
     for seed in 0..20_000 {
         let mut rng = Rng::with_seed(seed);
@@ -183,30 +193,33 @@
         let mut copy = store.clone();
         let mut members = Members::default();
         // Runs that were read as draining or, after they had been known, as ended.
-        let mut left: Vec<(usize, StartMs)> = Vec::new();
+        let mut stopped: Vec<(usize, StartMs)> = Vec::new();
         let mut known: [Option<StartMs>; RUNS] = [None; RUNS];
         for _ in 0..rng.usize(10..60) {
             let n = rng.usize(..RUNS);
             match rng.u32(..10) {
-                0 | 1 if store.said[n].is_none() => {
+                0 | 1 if store.actual[n].is_none() => {
                     store.begin(n);
                     store.write(n);
                 }
                 0..=2 => {
-                    if let Some((start, _)) = store.said[n] {
-                        store.said[n] = Some((start, true));
+                    if let Some((start, _)) = store.actual[n] {
+                        store.actual[n] = Some((start, true));
                         store.write(n);
                     }
                 }
                 3 => {
-                    store.said[n] = None;
+                    store.actual[n] = None;
                     store.write(n);
                 }
                 4 => copy = store.clone(),
                 5 => {
                     let now = store.clone();
-                    store =
-                        Store { epoch: now.epoch + 1, said: now.said, ..copy.clone() };
+                    store = Store {
+                        epoch: now.epoch + 1,
+                        actual: now.actual,
+                        ..copy.clone()
+                    };
                     store.starts = now.starts;
                     store.copied = store.revision;
                     copy = store.clone();
@@ -221,16 +234,16 @@
                     for (n, known) in known.iter_mut().enumerate() {
                         let is_listed = list.iter().any(|(e, _)| *e.id == *n.to_string());
                         let ended = known.filter(|_| !is_listed && !restored);
-                        left.extend(ended.map(|start| (n, start)));
+                        stopped.extend(ended.map(|start| (n, start)));
                         if let Some(entry) = store.listed[n] {
                             *known = Some(entry.start);
                             let is_copied = entry.written <= store.copied;
                             match entry.leaving {
-                                true => left.push((n, entry.start)),
+                                true => stopped.push((n, entry.start)),
                                 false if is_copied => {}
                                 // The run was missing for longer than the grace period
                                 // and is alive.
-                                false => left.retain(|run| *run != (n, entry.start)),
+                                false => stopped.retain(|run| *run != (n, entry.start)),
                             }
                         } else if !restored {
                             *known = None;
@@ -242,9 +255,10 @@
             let used = members.endpoints().filter(|e| !e.leaving);
             for endpoint in used {
                 let run = (endpoint.id.parse().expect("a number"), endpoint.start);
-                let is_left = left.iter().any(|(n, start)| (*n, Some(*start)) == run);
-                let is_said = store.said[run.0] == endpoint.start.map(|s| (s, false));
-                assert!(!is_left || is_said, "seed {seed}: {run:?} is used again");
+                let has_stopped =
+                    stopped.iter().any(|(n, start)| (*n, Some(*start)) == run);
+                let is_ready = store.actual[run.0] == endpoint.start.map(|s| (s, false));
+                assert!(!has_stopped || is_ready, "seed {seed}: {run:?} is used again");
             }
         }
     }
@@ -254,7 +268,7 @@
 /// Guards against dropping endpoints that joined after the copy was taken, and against
 /// keeping them for ever.
 #[test]
-fn endpoints_that_a_copy_lacks_are_kept_for_the_grace() {
+fn endpoints_missing_in_a_restored_copy_are_kept_for_the_grace_period() {
     struct Row {
         name: &'static str,
         /// When the entry is written again, in milliseconds after the restore.
--- a/crates/larkspring-core/tests/fleet_reading.rs
+++ b/crates/larkspring-core/tests/fleet_reading.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn prompts_are_read_at_the_engines_pace() {
+fn prefill_backlog_shrinks_at_the_prefill_speed() {
     let cases = [
         Case { name: "nothing", sent: &[], at: 5, left: 0 },
         Case { name: "just sent", sent: &[(0, 3870)], at: 0, left: 3870 },
@@ -36,13 +36,17 @@
     let start = Instant::now();
     let after = |ms| start + Duration::from_millis(ms);
     for c in cases {
-        let mut unread = Unread::new(start, 0);
+        let mut backlog = Unread::new(start, 0);
         for (at, tokens) in c.sent {
-            unread.add(after(*at), *tokens);
+            backlog.add(after(*at), *tokens);
         }
-        let left = unread.at(after(c.at));
+        let left = backlog.at(after(c.at));
         assert!(left.abs_diff(c.left) <= 1, "{}: {left}", c.name);
     }
-    let told = Unread::new(after(100), 3870);
-    assert_eq!(told.at(start), 3870, "a clock that a task read earlier changes nothing");
+    let backlog = Unread::new(after(100), 3870);
+    assert_eq!(
+        backlog.at(start),
+        3870,
+        "a clock that a task read earlier changes nothing"
+    );
 }
--- a/crates/larkspring-core/tests/fleet_reads.rs
+++ b/crates/larkspring-core/tests/fleet_reads.rs
@@ -11,7 +11,7 @@
 /// Guards against waits that are each shorter than the bound on a change but exceed it in
 /// total.
 #[test]
-fn the_waits_of_each_way_add_up_to_less_than_the_bound() {
+fn waits_on_each_path_total_less_than_the_bound() {
     for bound in BOUNDS_MS.map(Duration::from_millis) {
         for changes in KINDS {
             let direct = StorePace::of_entry(bound, changes).worst();
@@ -34,7 +34,7 @@
 struct Follower {
     pace: AgentPace,
     /// Time of the store's answer on which the entry's state is based.
-    heard: f64,
+    store_time: f64,
     now: f64,
 }
 
@@ -42,9 +42,9 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Agent {
     /// Reads from the store normally.
-    Well,
+    Healthy,
     /// Gets no answers from the store any more, and reports no changes.
-    Deaf,
+    Stale,
     /// Does not answer.
     Paused,
 }
@@ -60,16 +60,18 @@
     /// store last answered the agents.
     fn follow(&mut self, agents: [Agent; MAX_AGENTS], fault: f64, change: f64) -> f64 {
         loop {
-            let age = Duration::from_secs_f64((self.now - self.heard).max(0.0) / 1e3);
+            let age =
+                Duration::from_secs_f64((self.now - self.store_time).max(0.0) / 1e3);
             let mut wait = ms(self.pace.wait_at(age));
             for agent in agents {
                 match agent {
                     Agent::Paused => self.now += wait + ms(self.pace.answer),
-                    Agent::Well | Agent::Deaf => {
+                    Agent::Healthy | Agent::Stale => {
                         self.now += wait;
-                        let heard = if agent == Agent::Well { self.now } else { fault };
-                        if self.now - heard <= ms(self.pace.oldest) {
-                            self.heard = heard;
+                        let store_time =
+                            if agent == Agent::Healthy { self.now } else { fault };
+                        if self.now - store_time <= ms(self.pace.oldest) {
+                            self.store_time = store_time;
                             break;
                         }
                         self.now += ms(self.pace.answer);
@@ -78,12 +80,12 @@
                 // Only the first agent is asked to wait for a change.
                 wait = 0.0;
             }
-            let is_told = self.now - self.heard <= ms(self.pace.oldest);
-            if !is_told {
+            let is_recent = self.now - self.store_time <= ms(self.pace.oldest);
+            if !is_recent {
                 self.now += ms(self.pace.again);
-                self.heard = self.now;
+                self.store_time = self.now;
             }
-            if self.heard >= change {
+            if self.store_time >= change {
                 return self.now;
             }
             self.now += ms(self.pace.pause);
@@ -95,18 +97,18 @@
 /// total exceeds the bound: faults of both agents and changes at random times, with every
 /// step as late as allowed.
 #[test]
-fn drawn_faults_of_agents_never_delay_a_change_beyond_its_bound() {
+fn random_agent_faults_never_delay_a_change_beyond_its_bound() {
     let mut rng = Rng::with_seed(46);
     let mut worst: f64 = 0.0;
     for series in 0..20_000 {
         let bound = BOUNDS_MS[rng.usize(..BOUNDS_MS.len())];
         let pace = AgentPace::of(Duration::from_millis(bound));
         let fault = rng.f64() * bound as f64;
-        let kinds = [Agent::Well, Agent::Deaf, Agent::Paused];
+        let kinds = [Agent::Healthy, Agent::Stale, Agent::Paused];
         let agents = std::array::from_fn(|_| kinds[rng.usize(..kinds.len())]);
         let lag = rng.f64() * ms(pace.oldest).min(fault);
         let change = fault + rng.f64() * 2.0;
-        let mut entry = Follower { pace, heard: fault - lag, now: fault };
+        let mut entry = Follower { pace, store_time: fault - lag, now: fault };
         let known = entry.follow(agents, fault, change);
         let part = (known - change) / bound as f64;
         assert!(part < 1.0, "series {series}: {agents:?}: {part} of {bound} ms");
--- a/crates/larkspring-core/tests/fleet_routes.rs
+++ b/crates/larkspring-core/tests/fleet_routes.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_wins() {
+fn longest_prefix_of_the_host_matches() {
     let routes = [
         route("a.example", "/"),
         route("a.example", "/x/"),
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_split_route_gives_each_service_its_share() {
+fn split_route_gives_each_service_its_share() {
     let mut split = route("a.example", "/");
     split.targets = vec![
         RouteTarget { service: "old".into(), weight: 9000 },
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn adapters_fit_beside_the_weights_and_in_the_places() {
+fn adapters_are_limited_by_memory_and_slots() {
     let model =
         |adapter_mb| BaseModel { name: "m".into(), weights_mb: 65_100.0, adapter_mb };
     let engine = |memory_mb, adapter_places| Engine {
--- a/crates/larkspring-core/tests/fleet_urgency.rs
+++ b/crates/larkspring-core/tests/fleet_urgency.rs
@@ -5,7 +5,7 @@
 use larkspring_core::fleet::urgency::urgency;
 
 #[test]
-fn prompts_are_read_by_what_each_takes_from_the_others() {
+fn prefill_urgency_follows_size_rank_and_slack() {
     struct Case {
         name: &'static str,
         rank: u32,
--- a/crates/larkspring-core/tests/fleet_versions.rs
+++ b/crates/larkspring-core/tests/fleet_versions.rs
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_request_begins_on_an_older_version_for_a_while_only() {
+fn older_version_may_begin_for_a_limited_time() {
     struct Case {
         name: &'static str,
         version: &'static str,
@@ -100,7 +100,7 @@
 /// Guards against requests that begin on an older version after the operators' bound
 /// because the announcement of the newer version arrived late.
 #[test]
-fn late_news_of_a_version_leaves_less_time_for_the_one_before() {
+fn late_announcement_shortens_the_time_of_the_previous_version() {
     const BOUND_MS: u64 = 5000;
     for late_ms in (0..6000).step_by(100) {
         let named = Instant::now();
--- a/crates/larkspring-core/tests/load/mod.rs
+++ b/crates/larkspring-core/tests/load/mod.rs
@@ -44,31 +44,31 @@
 
 /// Batch slots, adapter slots and requested adapters of an engine: those of the largest
 /// known deployment, the last in proportion to its engines.
-const BATCH: u32 = 12;
-const PLACES: usize = 9;
-const ADAPTERS_AN_ENGINE: usize = 324;
+const BATCH_SLOTS: u32 = 12;
+const ADAPTER_SLOTS: usize = 9;
+const ADAPTERS_PER_ENGINE: usize = 324;
 /// Exponent of the Zipf distribution of requests over adapters.
-const SKEW: f64 = 1.2;
+const ZIPF_EXPONENT: f64 = 1.2;
 /// Objective for the first token, deadline of a caller, and duration of an answer.
 const OBJECTIVE: Ms = 600;
 const DEADLINE: Ms = 5_000;
 const ANSWER: Ms = 300;
 /// Duration of a fetch in ms, and number of fetches at full speed for each engine (72 for
 /// 74).
-const FETCH: f64 = 250.0;
-const AT_ONCE: f64 = 1.0;
+const FETCH_MS: f64 = 250.0;
+const FETCHES_PER_ENGINE: f64 = 1.0;
 /// Duration of a load from the memory of the engine's VM, in ms.
-const COPY: f64 = 30.0;
+const HOST_COPY_LOAD_MS: f64 = 30.0;
 /// Time for an engine to answer its agent, and time between two reports.
-const TURN: Ms = 2;
-const REPORT: Ms = 25;
+const CALL_TIME: Ms = 2;
+const REPORT_INTERVAL: Ms = 25;
 /// Shortest interval between two reports to entries.
-const TELL: Ms = 40;
+const REPORT_TO_ENTRIES_INTERVAL: Ms = 40;
 
 struct Engine {
     id: Incarnation,
     slots: Slots,
-    todo: VecDeque<Order>,
+    orders: VecDeque<Order>,
     /// Orders carried out, pending loads with the remaining work in ms, and resident
     /// adapters.
     taken: u64,
@@ -76,12 +76,12 @@
     held: HashSet<Target>,
     copies: Copies,
     /// Until when the agent waits for an answer, and the event that follows.
-    driver: Option<(Ms, Driven)>,
+    pending_call: Option<(Ms, CallResult)>,
     time: CallTime,
     report_at: Ms,
     known_taken: u64,
     running: Vec<(AttemptId, Ms)>,
-    told: Told,
+    reported: ReportedState,
 }
 
 #[derive(Clone)]
@@ -90,14 +90,14 @@
     Unload(Target),
 }
 
-enum Driven {
+enum CallResult {
     Report,
     Answered(Order),
     Lost(Order),
 }
 
 #[derive(Default)]
-struct Told {
+struct ReportedState {
     at: Ms,
     resident: HashSet<TargetHash>,
     loading: HashSet<TargetHash>,
@@ -108,12 +108,12 @@
 }
 
 struct Request {
-    came: Ms,
+    arrived_at: Ms,
     engine: usize,
 }
 
 /// The whole fleet.
-pub struct World {
+pub struct Fleet {
     scene: Scene,
     start: Instant,
     now: Ms,
@@ -132,33 +132,33 @@
 }
 
 /// Simulates a scene to its end.
-pub fn play(scene: Scene) -> Outcome {
-    let mut world = World::new(scene);
+pub fn simulate(scene: Scene) -> Outcome {
+    let mut fleet = Fleet::new(scene);
     let mut next = 0.0;
     let mut id: AttemptId = 0;
-    while world.now < world.scene.length {
-        while next <= world.now as f64 {
+    while fleet.now < fleet.scene.length {
+        while next <= fleet.now as f64 {
             id += 1;
-            world.arrive(id);
+            fleet.add_request(id);
             next +=
-                -world.rng.f64().max(f64::MIN_POSITIVE).ln() * 1000.0 / world.scene.rate;
+                -fleet.rng.f64().max(f64::MIN_POSITIVE).ln() * 1000.0 / fleet.scene.rate;
         }
-        world.step();
+        fleet.step();
     }
-    let end = world.now + DEADLINE;
-    while world.now < end {
-        world.step();
+    let end = fleet.now + DEADLINE;
+    while fleet.now < end {
+        fleet.step();
     }
-    world.outcome
+    fleet.outcome
 }
 
-impl World {
+impl Fleet {
     fn new(scene: Scene) -> Self {
-        let adapters = scene.engines * ADAPTERS_AN_ENGINE;
+        let adapters = scene.engines * ADAPTERS_PER_ENGINE;
         let start = Instant::now();
         let mut sum = 0.0;
         let weights = (1..=adapters).map(|n| {
-            sum += (n as f64).powf(-SKEW);
+            sum += (n as f64).powf(-ZIPF_EXPONENT);
             sum
         });
         let engines = (0..scene.engines).map(|n| Engine::new(n, start, &scene)).collect();
@@ -178,7 +178,7 @@
         self.start + Duration::from_millis(ms)
     }
 
-    fn arrive(&mut self, id: AttemptId) {
+    fn add_request(&mut self, id: AttemptId) {
         let all = *self.weights.last().unwrap();
         let point = self.rng.f64() * all;
         let adapter = self.weights.partition_point(|sum| *sum < point);
@@ -193,7 +193,7 @@
             return;
         };
         let engine = order[at].1;
-        self.requests.insert(id, Request { came: self.now, engine });
+        self.requests.insert(id, Request { arrived_at: self.now, engine });
         let now = self.at(self.now);
         let req = Waiting {
             target,
@@ -211,9 +211,9 @@
 
     fn step(&mut self) {
         self.now += 1;
-        self.give_up();
+        self.expire_requests();
         let fetching: usize = self.engines.iter().map(Engine::fetching).sum();
-        let most = AT_ONCE * self.engines.len() as f64;
+        let most = FETCHES_PER_ENGINE * self.engines.len() as f64;
         let speed = (most / fetching.max(1) as f64).min(1.0);
         let now = self.at(self.now);
         for n in 0..self.engines.len() {
@@ -223,7 +223,7 @@
             let started = engine.decide(now, self.now);
             for id in started {
                 let req = &self.requests[&id];
-                let waited = self.now - req.came;
+                let waited = self.now - req.arrived_at;
                 match waited <= OBJECTIVE {
                     true => self.outcome.in_time += 1,
                     false => self.outcome.late += 1,
@@ -233,17 +233,17 @@
             let lost = self.scene.lost_orders;
             let rng = &mut self.rng;
             let engine = &mut self.engines[n];
-            self.outcome.fetched += engine.drive(now, self.now, || rng.f64() < lost);
-            engine.tell(self.now);
+            self.outcome.fetched += engine.send_order(now, self.now, || rng.f64() < lost);
+            engine.report_state(self.now);
         }
     }
 
-    fn give_up(&mut self) {
+    fn expire_requests(&mut self) {
         let now = self.now;
         let late: Vec<_> = self
             .requests
             .iter()
-            .filter(|(_, req)| now >= req.came + DEADLINE)
+            .filter(|(_, req)| now >= req.arrived_at + DEADLINE)
             .map(|(id, req)| (*id, req.engine))
             .collect();
         for (id, engine) in late {
@@ -257,7 +257,7 @@
 impl Engine {
     fn new(n: usize, start: Instant, scene: &Scene) -> Self {
         let mut slots = Slots::new(Limits {
-            slots: PLACES,
+            slots: ADAPTER_SLOTS,
             max_running: usize::MAX,
             max_waiting: 1024,
             max_loading: 4,
@@ -271,27 +271,30 @@
         Self {
             id: format!("engine-{n}").into(),
             slots,
-            todo: VecDeque::new(),
+            orders: VecDeque::new(),
             taken: 0,
             pending: HashMap::new(),
             held: HashSet::new(),
             copies: Copies::default(),
-            driver: None,
+            pending_call: None,
             time: CallTime::new(scene.answer),
             report_at: 0,
             known_taken: 0,
             running: Vec::new(),
-            told: Told { free_places: PLACES as u32, ..Told::default() },
+            reported: ReportedState {
+                free_places: ADAPTER_SLOTS as u32,
+                ..ReportedState::default()
+            },
         }
     }
 
     fn view(&self, target: TargetHash) -> View {
-        let told = &self.told;
-        let holding = if told.resident.contains(&target) {
+        let reported = &self.reported;
+        let holding = if reported.resident.contains(&target) {
             Holding::Resident
-        } else if told.loading.contains(&target) {
+        } else if reported.loading.contains(&target) {
             Holding::Loading
-        } else if told.copies.contains(target) {
+        } else if reported.copies.contains(target) {
             Holding::Copied
         } else {
             Holding::Absent
@@ -299,10 +302,10 @@
         View {
             same_hall: true,
             holding,
-            running: told.running,
-            slots: BATCH,
-            free_places: told.free_places,
-            loads_ahead: told.loads_ahead + told.loading.len() as u32,
+            running: reported.running,
+            slots: BATCH_SLOTS,
+            free_places: reported.free_places,
+            loads_ahead: reported.loads_ahead + reported.loading.len() as u32,
             can_load: true,
             filling: false,
             prompt_tokens: 640,
@@ -343,8 +346,8 @@
                     self.running.push((id, ms + ANSWER));
                     started.push(id);
                 }
-                Action::Load(target) => self.todo.push_back(Order::Load(target)),
-                Action::Unload(target) => self.todo.push_front(Order::Unload(target)),
+                Action::Load(target) => self.orders.push_back(Order::Load(target)),
+                Action::Unload(target) => self.orders.push_front(Order::Unload(target)),
                 Action::Refuse(..) => {}
             }
         }
@@ -352,48 +355,53 @@
     }
 
     /// Sends orders one at a time; returns the number of fetches that began.
-    fn drive(&mut self, now: Instant, ms: Ms, mut lost: impl FnMut() -> bool) -> u32 {
-        if let Some((at, _)) = &self.driver {
+    fn send_order(
+        &mut self,
+        now: Instant,
+        ms: Ms,
+        mut lost: impl FnMut() -> bool,
+    ) -> u32 {
+        if let Some((at, _)) = &self.pending_call {
             if *at > ms {
                 return 0;
             }
         }
-        match self.driver.take().map(|(_, driven)| driven) {
-            Some(Driven::Report) => self.reported(now, ms),
-            Some(Driven::Answered(order)) => {
-                self.time.answered(Duration::from_millis(TURN));
+        match self.pending_call.take().map(|(_, result)| result) {
+            Some(CallResult::Report) => self.apply_report(now, ms),
+            Some(CallResult::Answered(order)) => {
+                self.time.answered(Duration::from_millis(CALL_TIME));
                 self.known_taken += 1;
                 match order {
                     Order::Load(target) => {
                         self.slots.load_ordered(now, &target);
-                        self.report_at = self.report_at.min(ms + TURN);
+                        self.report_at = self.report_at.min(ms + CALL_TIME);
                     }
                     Order::Unload(target) => self.slots.unloaded(now, &target, true),
                 }
             }
-            Some(Driven::Lost(order)) => {
+            Some(CallResult::Lost(order)) => {
                 self.time.lost();
                 if let Order::Load(target) = &order {
                     self.slots.load_ordered(now, target);
                 }
-                self.todo.push_front(order);
+                self.orders.push_front(order);
                 self.report_at = ms;
             }
             None => {}
         }
         if self.report_at <= ms {
-            self.driver = Some((ms + TURN, Driven::Report));
+            self.pending_call = Some((ms + CALL_TIME, CallResult::Report));
             return 0;
         }
-        let Some(order) = self.todo.pop_front() else { return 0 };
+        let Some(order) = self.orders.pop_front() else { return 0 };
         let is_lost = lost();
         // Half of the orders without an answer are carried out.
-        let takes = !is_lost || lost();
-        let fetched = if takes { self.take(&order) } else { 0 };
+        let is_taken = !is_lost || lost();
+        let fetched = if is_taken { self.take(&order) } else { 0 };
         let wait = self.time.limit().as_millis() as Ms;
-        self.driver = Some(match is_lost {
-            true => (ms + wait, Driven::Lost(order)),
-            false => (ms + TURN, Driven::Answered(order)),
+        self.pending_call = Some(match is_lost {
+            true => (ms + wait, CallResult::Lost(order)),
+            false => (ms + CALL_TIME, CallResult::Answered(order)),
         });
         fetched
     }
@@ -407,7 +415,10 @@
         match order {
             Order::Load(target) => {
                 let copied = self.copies.contains(target.hash());
-                self.pending.insert(target.clone(), if copied { COPY } else { FETCH });
+                self.pending.insert(
+                    target.clone(),
+                    if copied { HOST_COPY_LOAD_MS } else { FETCH_MS },
+                );
                 u32::from(!copied)
             }
             Order::Unload(target) => {
@@ -418,41 +429,42 @@
         }
     }
 
-    fn reported(&mut self, now: Instant, ms: Ms) {
+    fn apply_report(&mut self, now: Instant, ms: Ms) {
         self.known_taken = self.taken;
         let held: Vec<_> = self.held.iter().cloned().collect();
         let pending: Vec<_> = self.pending.keys().cloned().collect();
-        self.todo.retain(|order| match order {
+        self.orders.retain(|order| match order {
             Order::Load(t) => !held.contains(t) && !pending.contains(t),
             Order::Unload(t) => held.contains(t),
         });
-        let todo = &self.todo;
+        let orders = &self.orders;
         let ordered = |target: &Target| {
-            !todo.iter().any(|order| match order {
+            !orders.iter().any(|order| match order {
                 Order::Load(t) | Order::Unload(t) => t == target,
             })
         };
         self.slots.engine_is_now(now, &"run".into(), &held, &pending, ordered);
-        self.report_at = ms + REPORT;
+        self.report_at = ms + REPORT_INTERVAL;
     }
 
-    fn tell(&mut self, ms: Ms) {
-        if ms < self.told.at + TELL {
+    fn report_state(&mut self, ms: Ms) {
+        if ms < self.reported.at + REPORT_TO_ENTRIES_INTERVAL {
             return;
         }
         let (resident, loading) = self.slots.held();
         let hashes = |of: Vec<&Target>| of.into_iter().map(Target::hash).collect();
         let resident: HashSet<_> = hashes(resident);
         let loading: HashSet<_> = hashes(loading);
-        let gone: Vec<_> = self.told.resident.difference(&resident).copied().collect();
+        let gone: Vec<_> =
+            self.reported.resident.difference(&resident).copied().collect();
         for hash in gone {
-            self.told.copies.leave(hash);
+            self.reported.copies.leave(hash);
         }
-        self.told.at = ms;
-        self.told.resident = resident;
-        self.told.loading = loading;
-        self.told.free_places = self.slots.free_places() as u32;
-        self.told.loads_ahead = self.slots.loads_ahead() as u32;
-        self.told.running = self.slots.running() as u32;
+        self.reported.at = ms;
+        self.reported.resident = resident;
+        self.reported.loading = loading;
+        self.reported.free_places = self.slots.free_places() as u32;
+        self.reported.loads_ahead = self.slots.loads_ahead() as u32;
+        self.reported.running = self.slots.running() as u32;
     }
 }
--- a/crates/larkspring-core/tests/load_copies.rs
+++ b/crates/larkspring-core/tests/load_copies.rs
@@ -10,20 +10,20 @@
 /// The largest known deployment: 13 entries in each of 5 halls, 713 requests a second for
 /// 24,000 adapters, distributed by Zipf's law with exponent 1.2.
 const HALLS: usize = 5;
-const ENTRIES_IN_HALL: usize = 13;
+const ENTRIES_PER_HALL: usize = 13;
 const RATE: u64 = 713;
 const ADAPTERS: usize = 24_000;
-const SKEW: f64 = 1.2;
+const ZIPF_EXPONENT: f64 = 1.2;
 const LENGTH: u64 = 20;
 /// A load in the hall pays off if it saves 13 requests to other halls, the cost of a
 /// fetch.
-const CROSSINGS_A_FETCH: u64 = 13;
+const CROSSINGS_PER_FETCH: u64 = 13;
 
 #[derive(Debug, Default)]
-struct Copies {
+struct Loads {
     made: u64,
     /// Loads that at least 13 requests used within 10 s.
-    paid: u64,
+    useful: u64,
 }
 
 /// How the requests for an adapter that a hall does not hold are counted.
@@ -41,47 +41,47 @@
     let mut sum = 0.0;
     let sums: Vec<f64> = (1..=ADAPTERS)
         .map(|n| {
-            sum += (n as f64).powf(-SKEW);
+            sum += (n as f64).powf(-ZIPF_EXPONENT);
             sum
         })
         .collect();
     let draw = |rng: &mut Rng| {
         let point = rng.f64() * sum;
         let adapter = sums.partition_point(|s| *s < point);
-        (adapter, rng.usize(..HALLS), rng.usize(..ENTRIES_IN_HALL))
+        (adapter, rng.usize(..HALLS), rng.usize(..ENTRIES_PER_HALL))
     };
     (0..RATE * LENGTH).map(|_| draw(&mut rng)).collect()
 }
 
-fn count(counting: Counting) -> Copies {
+fn count(counting: Counting) -> Loads {
     let start = Instant::now();
     let arrivals = arrivals();
     let mut demand = Demand::<(usize, usize, usize)>::default();
-    let mut copied: HashMap<(usize, usize), usize> = HashMap::new();
-    let mut copies = Copies::default();
+    let mut loaded: HashMap<(usize, usize), usize> = HashMap::new();
+    let mut loads = Loads::default();
     for (n, &(adapter, hall, entry)) in arrivals.iter().enumerate() {
         let now = start + Duration::from_secs_f64(n as f64 / RATE as f64);
         let (key, factor) = match counting {
-            Counting::Entries => ((adapter, hall, entry), ENTRIES_IN_HALL as f64),
+            Counting::Entries => ((adapter, hall, entry), ENTRIES_PER_HALL as f64),
             Counting::Agent => ((adapter, hall, 0), 1.0),
         };
         let rate = demand.count(now, &key) * factor;
-        if copied.contains_key(&(adapter, hall)) || !copy_pays(rate) {
+        if loaded.contains_key(&(adapter, hall)) || !copy_pays(rate) {
             continue;
         }
-        copied.insert((adapter, hall), n);
-        copies.made += 1;
+        loaded.insert((adapter, hall), n);
+        loads.made += 1;
         let after = arrivals[n..].iter().take((RATE * 10) as usize);
         let used = after.filter(|a| (a.0, a.1) == (adapter, hall)).count() as u64;
-        copies.paid += u64::from(used >= CROSSINGS_A_FETCH);
+        loads.useful += u64::from(used >= CROSSINGS_PER_FETCH);
     }
-    copies
+    loads
 }
 
 #[test]
-fn a_single_request_is_not_taken_for_the_demand_of_a_hall() {
+fn single_request_does_not_count_as_demand_of_a_hall() {
     let (entries, agent) = (count(Counting::Entries), count(Counting::Agent));
     println!("entries count: {entries:?}\nagents count: {agent:?}");
     assert!(agent.made * 10 < entries.made, "{agent:?} {entries:?}");
-    assert!(agent.paid * 2 > agent.made, "{agent:?}");
+    assert!(agent.useful * 2 > agent.made, "{agent:?}");
 }
--- a/crates/larkspring-core/tests/load_lost_orders.rs
+++ b/crates/larkspring-core/tests/load_lost_orders.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use larkspring_core::call_time::CallBounds;
-use load::{play, Outcome, Scene};
+use load::{simulate, Outcome, Scene};
 
 /// The first seconds of a day on which engines leave 3 in 10 orders unanswered. Every
 /// adapter slot is empty, 9 requests a second arrive for each engine (712 for 74), and an
@@ -23,7 +23,7 @@
 }
 
 fn sum(least: u64) -> Outcome {
-    let runs = (1..=3).map(|seed| play(scene(seed, least)));
+    let runs = (1..=3).map(|seed| simulate(scene(seed, least)));
     runs.fold(Outcome::default(), |all, one| Outcome {
         in_time: all.in_time + one.in_time,
         late: all.late + one.late,
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_lost_order_holds_up_the_others_for_a_moment_only() {
+fn lost_order_delays_others_only_briefly() {
     // With the shortest wait as long as the longest, the wait is fixed.
     let (fixed, learned) = (sum(250), sum(30));
     println!("fixed wait: {fixed:?}\nlearned wait: {learned:?}");
--- a/crates/larkspring-core/tests/permits.rs
+++ b/crates/larkspring-core/tests/permits.rs
@@ -20,15 +20,15 @@
 
 /// How entries limit their requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Way {
+enum Limiter {
     /// No limit.
-    Free,
+    Unlimited,
     /// Each entry limits itself to the whole rate.
-    Each,
+    PerEntry,
     /// Each entry limits itself to an equal part of the rate.
-    EvenPart,
+    EqualPart,
     /// Permits of a shared issuer.
-    Home,
+    Shared,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -54,30 +54,30 @@
 #[derive(Default)]
 struct Process {
     permits: Permits,
-    still_until: u64,
+    unresponsive_until: u64,
 }
 
-fn play(way: Way, load: Load, seed: u64) -> Outcome {
+fn simulate(limiter: Limiter, load: Load, seed: u64) -> Outcome {
     let mut rng = Rng::with_seed(seed);
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
-    let mut homes = [Process::default(), Process::default()];
+    let mut issuers = [Process::default(), Process::default()];
     let mut own: Vec<Permits> = (0..load.entries).map(|_| Permits::default()).collect();
     // Until when an entry was denied, and until when it is disconnected from the primary
     // issuer.
-    let mut denied = vec![0; load.entries];
-    let mut cut = vec![0; load.entries];
+    let mut denied_until = vec![0; load.entries];
+    let mut disconnected_until = vec![0; load.entries];
     // A few entries get most of the load.
     let weights: Vec<f64> = (0..load.entries).map(|_| rng.f64().powi(3) + 0.01).collect();
     let all: f64 = weights.iter().sum();
     let mut arrivals = Vec::new();
     for ms in 0..load.secs * 1000 {
         if load.faults {
-            fail(&mut rng, ms, &mut homes, &mut cut);
+            inject_fault(&mut rng, ms, &mut issuers, &mut disconnected_until);
         }
         for entry in 0..load.entries {
             let chance = load.asked / 1000.0 * weights[entry] / all;
-            if rng.f64() >= chance || denied[entry] > ms {
+            if rng.f64() >= chance || denied_until[entry] > ms {
                 continue;
             }
             let ask = |home, rate| Ask {
@@ -86,25 +86,28 @@
                 age: Duration::ZERO,
                 home,
             };
-            let verdict = match way {
-                Way::Free => Verdict::Granted,
-                Way::Each => own[entry].ask(at(ms), &ask(Home::First, load.rate)),
-                Way::EvenPart => {
+            let verdict = match limiter {
+                Limiter::Unlimited => Verdict::Granted,
+                Limiter::PerEntry => own[entry].ask(at(ms), &ask(Home::First, load.rate)),
+                Limiter::EqualPart => {
                     let part = load.rate / load.entries as f64;
                     own[entry].ask(at(ms), &ask(Home::First, part))
                 }
-                Way::Home => {
-                    let reaches = |home: &Process, n| {
-                        home.still_until <= ms && (n > 0 || cut[entry] <= ms)
+                Limiter::Shared => {
+                    let reaches = |issuer: &Process, n| {
+                        issuer.unresponsive_until <= ms
+                            && (n > 0 || disconnected_until[entry] <= ms)
                     };
-                    let first =
-                        homes.iter().enumerate().find(|(n, home)| reaches(home, *n));
+                    let first = issuers
+                        .iter()
+                        .enumerate()
+                        .find(|(n, issuer)| reaches(issuer, *n));
                     match first.map(|(n, _)| n) {
                         Some(0) => {
-                            homes[0].permits.ask(at(ms), &ask(Home::First, load.rate))
+                            issuers[0].permits.ask(at(ms), &ask(Home::First, load.rate))
                         }
                         Some(n) => {
-                            homes[n].permits.ask(at(ms), &ask(Home::Second, load.rate))
+                            issuers[n].permits.ask(at(ms), &ask(Home::Second, load.rate))
                         }
                         None => Verdict::Denied(ANSWER),
                     }
@@ -116,35 +119,42 @@
                     let later = if load.faults { rng.u64(0..late) } else { 1 };
                     arrivals.push(ms + later);
                 }
-                Verdict::Denied(wait) => denied[entry] = ms + wait.as_millis() as u64,
+                Verdict::Denied(wait) => {
+                    denied_until[entry] = ms + wait.as_millis() as u64
+                }
             }
         }
     }
     arrivals.sort_unstable();
     let bound = 1.5 * load.rate * SPAN_MS as f64 / 1000.0 + 5.0;
-    let most = most_in_a_span(&arrivals) as f64;
+    let most = max_in_a_span(&arrivals) as f64;
     let offered = load.rate.min(load.asked) * load.secs as f64;
     Outcome { of_bound: most / bound, of_rate: arrivals.len() as f64 / offered }
 }
 
 /// Occasionally kills an issuer, makes one unresponsive, or disconnects an entry.
-fn fail(rng: &mut Rng, ms: u64, homes: &mut [Process; 2], cut: &mut [u64]) {
+fn inject_fault(
+    rng: &mut Rng,
+    ms: u64,
+    issuers: &mut [Process; 2],
+    disconnected_until: &mut [u64],
+) {
     if rng.u32(..1500) > 0 {
         return;
     }
     let until = ms + rng.u64(50..3000);
-    let home = &mut homes[rng.usize(..2)];
+    let issuer = &mut issuers[rng.usize(..2)];
     match rng.u32(..3) {
-        0 => *home = Process { still_until: until, ..Process::default() },
-        1 => home.still_until = until,
+        0 => *issuer = Process { unresponsive_until: until, ..Process::default() },
+        1 => issuer.unresponsive_until = until,
         _ => {
-            let entry = rng.usize(..cut.len());
-            cut[entry] = until;
+            let entry = rng.usize(..disconnected_until.len());
+            disconnected_until[entry] = until;
         }
     }
 }
 
-fn most_in_a_span(arrivals: &[u64]) -> usize {
+fn max_in_a_span(arrivals: &[u64]) -> usize {
     let mut from = 0;
     let mut most = 0;
     for (n, at) in arrivals.iter().enumerate() {
@@ -163,7 +173,7 @@
 /// Compares the ways to limit requests; without any limit, the load must exceed the
 /// bound.
 #[test]
-fn one_account_keeps_the_bound_and_uses_the_rate() {
+fn shared_issuer_keeps_the_bound_and_uses_the_rate() {
     let cases = [
         load(2, 3.2, 13.0),
         load(4, 3.2, 13.0),
@@ -178,8 +188,9 @@
         "entries, rate, asked: part of the bound, of the rate; free, each, even, home"
     );
     for load in cases {
-        let ways = [Way::Free, Way::Each, Way::EvenPart, Way::Home];
-        let got = ways.map(|way| play(way, load, 1));
+        let limiters =
+            [Limiter::Unlimited, Limiter::PerEntry, Limiter::EqualPart, Limiter::Shared];
+        let got = limiters.map(|limiter| simulate(limiter, load, 1));
         let shown = got.iter().map(|o| format!("{:.2} {:.2}", o.of_bound, o.of_rate));
         let shown: Vec<_> = shown.collect();
         println!("{}, {}, {}: {}", load.entries, load.rate, load.asked, shown.join("; "));
@@ -193,7 +204,7 @@
 /// Random series with issuers that are killed, unresponsive or disconnected, and with
 /// permits that are used as late as they are valid.
 #[test]
-fn drawn_series_of_faults_keep_the_bound() {
+fn random_faults_keep_the_bound() {
     let mut rng = Rng::with_seed(11);
     let (mut worst, mut used) = (0.0_f64, 0.0);
     const SERIES: u64 = 400;
@@ -202,7 +213,7 @@
         let rate = 0.2 * 250_f64.powf(rng.f64());
         let load =
             Load { secs: 20, faults: true, ..load(entries, rate, rate * 4.0 + 2.0) };
-        let outcome = play(Way::Home, load, seed);
+        let outcome = simulate(Limiter::Shared, load, seed);
         worst = worst.max(outcome.of_bound);
         used += outcome.of_rate / SERIES as f64;
         assert!(outcome.of_bound <= 1.0, "seed {seed}, {load:?}: {outcome:?}");
@@ -212,12 +223,12 @@
 
 /// Applies the rate headers of consecutive answers and checks the rate in force.
 #[test]
-fn a_rate_holds_as_long_as_it_is_said() {
+fn rate_limit_applies_while_advertised() {
     /// An answer that arrives now to a request sent this many milliseconds ago, or time
     /// that passes.
     #[derive(Clone, Copy)]
     enum Step {
-        Says(f64, u64),
+        Advertises(f64, u64),
         Silent(u64),
         Unreadable,
         Wait(u64),
@@ -233,65 +244,82 @@
     let case = |name, steps, rate, named| Case { name, steps, rate, named };
     let cases = [
         case("nothing", &[Silent(0)], None, false),
-        case("named", &[Says(3.2, 0)], Some(3.2), true),
-        case("for ever", &[Says(3.2, 0), Wait(100_000)], Some(3.2), true),
+        case("named", &[Advertises(3.2, 0)], Some(3.2), true),
+        case("for ever", &[Advertises(3.2, 0), Wait(100_000)], Some(3.2), true),
         case(
             "what can't be read ends nothing",
-            &[Says(3.2, 0), Wait(9), Unreadable],
+            &[Advertises(3.2, 0), Wait(9), Unreadable],
             Some(3.2),
             true,
         ),
         case(
             "a later silence ends it",
-            &[Says(3.2, 0), Wait(9), Silent(5)],
+            &[Advertises(3.2, 0), Wait(9), Silent(5)],
             Some(3.2),
             false,
         ),
         case(
             "an overtaken one doesn't",
-            &[Says(3.2, 0), Wait(9), Silent(20)],
+            &[Advertises(3.2, 0), Wait(9), Silent(20)],
             Some(3.2),
             true,
         ),
         case(
             "it grows after its end",
-            &[Says(3.2, 0), Wait(9), Silent(5), Wait(500)],
+            &[Advertises(3.2, 0), Wait(9), Silent(5), Wait(500)],
             Some(6.4),
             false,
         ),
         case(
             "from one at least",
-            &[Says(0.0, 0), Wait(9), Silent(5), Wait(1000)],
+            &[Advertises(0.0, 0), Wait(9), Silent(5), Wait(1000)],
             Some(4.0),
             false,
         ),
         case(
             "and is forgotten",
-            &[Says(3.2, 0), Wait(9), Silent(5), Wait(3000)],
+            &[Advertises(3.2, 0), Wait(9), Silent(5), Wait(3000)],
             None,
             false,
         ),
-        case("raised", &[Says(3.2, 0), Wait(9), Says(7.4, 5)], Some(7.4), true),
+        case(
+            "raised",
+            &[Advertises(3.2, 0), Wait(9), Advertises(7.4, 5)],
+            Some(7.4),
+            true,
+        ),
         case(
             "not by an overtaken answer",
-            &[Says(3.2, 0), Wait(9), Says(7.4, 20)],
+            &[Advertises(3.2, 0), Wait(9), Advertises(7.4, 20)],
+            Some(3.2),
+            true,
+        ),
+        case(
+            "lowered by any",
+            &[Advertises(7.4, 0), Wait(9), Advertises(3.2, 20)],
             Some(3.2),
             true,
         ),
-        case("lowered by any", &[Says(7.4, 0), Wait(9), Says(3.2, 20)], Some(3.2), true),
         case(
             "named, ended, named",
-            &[Says(1.0, 0), Wait(9), Silent(5), Wait(9), Says(1.0, 5), Wait(5000)],
+            &[
+                Advertises(1.0, 0),
+                Wait(9),
+                Silent(5),
+                Wait(9),
+                Advertises(1.0, 5),
+                Wait(5000),
+            ],
             Some(1.0),
             true,
         ),
-        case("more than any endpoint gets", &[Says(1e12, 0)], None, true),
+        case("more than any endpoint gets", &[Advertises(1e12, 0)], None, true),
     ];
     for c in cases {
         let (mut limit, mut now) = (None, Instant::now());
         for step in c.steps {
-            let word = match *step {
-                Says(rate, _) => RateWord::Named(Rate::per_sec(rate).unwrap()),
+            let advertised = match *step {
+                Advertises(rate, _) => RateWord::Named(Rate::per_sec(rate).unwrap()),
                 Silent(_) => RateWord::Silent,
                 Unreadable => RateWord::Unreadable,
                 Wait(ms) => {
@@ -300,11 +328,11 @@
                 }
             };
             let ago = match *step {
-                Says(_, ago) | Silent(ago) => ago,
+                Advertises(_, ago) | Silent(ago) => ago,
                 Unreadable | Wait(_) => 0,
             };
             let asked = now.checked_sub(Duration::from_millis(ago)).unwrap();
-            limit = RateLimit::heard(limit, now, asked, word);
+            limit = RateLimit::heard(limit, now, asked, advertised);
         }
         let rate = limit.and_then(|limit| limit.in_force(now)).map(Rate::as_per_sec);
         assert_eq!(rate, c.rate, "{}", c.name);
@@ -314,7 +342,7 @@
 
 /// An issuer applies the latest rate, and the lower one of two of about the same age.
 #[test]
-fn a_home_goes_by_the_latest_word() {
+fn issuer_applies_the_latest_rate() {
     struct Case {
         name: &'static str,
         /// Rates, each with its age in milliseconds, recorded at intervals of one second.
--- a/crates/larkspring-core/tests/repeats.rs
+++ b/crates/larkspring-core/tests/repeats.rs
@@ -12,7 +12,7 @@
 /// entries, the retries of all entries in each window stay within the ratio of the
 /// requests plus the fixed part.
 #[test]
-fn all_entries_together_keep_the_budget() {
+fn entries_together_keep_the_retry_budget() {
     for seed in 0..20 {
         let mut rng = Rng::with_seed(seed);
         let entries = rng.usize(1..6);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn without_requests_only_the_share_of_the_fixed_part_is_left() {
+fn without_requests_only_the_fixed_share_is_allowed() {
     let now = Instant::now();
     let mut alone = RepeatWindow::new(TERMS);
     let taken = (0..100).filter(|_| alone.repeat(now, 1)).count();
--- a/crates/larkspring-core/tests/route.rs
+++ b/crates/larkspring-core/tests/route.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn entries_that_know_nothing_agree() {
+fn entries_without_load_reports_agree() {
     for n in 0..20 {
         let choose = |seed| {
             let state = state(18);
@@ -67,47 +67,47 @@
 }
 
 #[test]
-fn hints_decide_among_the_candidates() {
-    let it = Choice::new();
-    let first = it.choose(&[]).unwrap();
-    let second = it.choose(std::slice::from_ref(&first)).unwrap();
+fn load_reports_decide_among_candidates() {
+    let choice = Choice::new();
+    let first = choice.choose(&[]).unwrap();
+    let second = choice.choose(std::slice::from_ref(&first)).unwrap();
     assert_ne!(first.name, second.name);
     // An endpoint that holds the adapter is preferred to a higher-ranked one that does
     // not,
-    it.learn(&second, Hint { resident: vec![hash(1)], ..Hint::default() });
-    assert_eq!(it.choose(&[]).unwrap().name, second.name);
+    choice.learn(&second, Hint { resident: vec![hash(1)], ..Hint::default() });
+    assert_eq!(choice.choose(&[]).unwrap().name, second.name);
     // unless its queue is long.
     let resident = vec![hash(1)];
-    it.learn(&second, Hint { resident, waiting: 100, ..Hint::default() });
-    assert_eq!(it.choose(&[]).unwrap().name, first.name);
+    choice.learn(&second, Hint { resident, waiting: 100, ..Hint::default() });
+    assert_eq!(choice.choose(&[]).unwrap().name, first.name);
 }
 
 #[test]
-fn endpoints_that_leave_or_are_unreachable_are_passed_over_for_a_time() {
-    let it = Choice::new();
-    let first = it.choose(&[]).unwrap();
-    it.learn(&first, Hint { leaving: true, ..Hint::default() });
-    assert_ne!(it.choose(&[]).unwrap().name, first.name);
-    it.learn(&first, Hint::default());
-    assert_eq!(it.choose(&[]).unwrap().name, first.name);
-    it.router.unreachable(it.now, &first.name);
-    assert_ne!(it.choose(&[]).unwrap().name, first.name);
-    let later = Choice { now: it.now + Duration::from_secs(2), ..it };
+fn draining_and_unreachable_endpoints_are_avoided_for_a_time() {
+    let choice = Choice::new();
+    let first = choice.choose(&[]).unwrap();
+    choice.learn(&first, Hint { leaving: true, ..Hint::default() });
+    assert_ne!(choice.choose(&[]).unwrap().name, first.name);
+    choice.learn(&first, Hint::default());
+    assert_eq!(choice.choose(&[]).unwrap().name, first.name);
+    choice.router.unreachable(choice.now, &first.name);
+    assert_ne!(choice.choose(&[]).unwrap().name, first.name);
+    let later = Choice { now: choice.now + Duration::from_secs(2), ..choice };
     assert_eq!(later.choose(&[]).unwrap().name, first.name);
 }
 
 #[test]
-fn all_tried_leaves_none() {
-    let it = Choice::new();
+fn no_endpoint_is_chosen_when_all_were_tried() {
+    let choice = Choice::new();
     let mut tried = Vec::new();
-    while let Some(endpoint) = it.choose(&tried) {
+    while let Some(endpoint) = choice.choose(&tried) {
         tried.push(endpoint);
     }
     assert_eq!(tried.len(), 6);
 }
 
 #[test]
-fn candidates_are_enough_distinct_and_stable() {
+fn candidates_are_sufficient_distinct_and_stable() {
     struct Case {
         endpoints: usize,
         least: usize,
--- a/crates/larkspring-core/tests/slots.rs
+++ b/crates/larkspring-core/tests/slots.rs
@@ -21,7 +21,7 @@
     /// An agent that may already unload, whose engine holds `held`.
     fn new(slots: usize, held: &[&str]) -> Self {
         let mut agent = Self::unsettled(slots, held);
-        agent.pass(SETTLE);
+        agent.advance(SETTLE);
         agent
     }
 
@@ -43,7 +43,7 @@
         agent
     }
 
-    fn pass(&mut self, time: Duration) {
+    fn advance(&mut self, time: Duration) {
         self.now += time;
     }
 
@@ -77,7 +77,7 @@
         }
     }
 
-    fn does(&mut self) -> Vec<Action> {
+    fn schedule(&mut self) -> Vec<Action> {
         self.slots.schedule(self.now)
     }
 
@@ -110,33 +110,33 @@
 fn resident_adapter_starts_at_once() {
     let mut agent = Agent::new(2, &["a"]);
     let id = agent.ask("a");
-    assert_eq!(agent.does(), [Action::Start(id)]);
+    assert_eq!(agent.schedule(), [Action::Start(id)]);
     assert_eq!(agent.slots.pins(&target("a")), 1);
 }
 
 #[test]
-fn one_load_serves_all_who_wait() {
+fn one_load_serves_all_waiting_requests() {
     let mut agent = Agent::new(2, &[]);
     let (first, second) = (agent.ask("a"), agent.ask("a"));
-    assert_eq!(agent.does(), [load("a")]);
-    assert_eq!(agent.does(), []);
+    assert_eq!(agent.schedule(), [load("a")]);
+    assert_eq!(agent.schedule(), []);
     agent.loaded("a", true);
-    assert_eq!(agent.does(), [Action::Start(first), Action::Start(second)]);
+    assert_eq!(agent.schedule(), [Action::Start(first), Action::Start(second)]);
 }
 
 #[test]
 fn pinned_adapter_is_not_unloaded() {
     let mut agent = Agent::new(1, &["a"]);
     let user = agent.ask("a");
-    assert_eq!(agent.does(), [Action::Start(user)]);
+    assert_eq!(agent.schedule(), [Action::Start(user)]);
     let next = agent.ask("b");
-    assert_eq!(agent.does(), []);
+    assert_eq!(agent.schedule(), []);
     agent.ended(user);
-    assert_eq!(agent.does(), [unload("a")]);
+    assert_eq!(agent.schedule(), [unload("a")]);
     agent.unloaded("a");
-    assert_eq!(agent.does(), [load("b")]);
+    assert_eq!(agent.schedule(), [load("b")]);
     agent.loaded("b", true);
-    assert_eq!(agent.does(), [Action::Start(next)]);
+    assert_eq!(agent.schedule(), [Action::Start(next)]);
 }
 
 #[test]
@@ -146,55 +146,55 @@
     let used = [Held { target: target("a"), foreign: 1 }];
     agent.slots.engine_is(agent.now, &run, &used);
     agent.ask("b");
-    assert_eq!(agent.does(), []);
+    assert_eq!(agent.schedule(), []);
     agent.report("run-1", &["a"]);
-    assert_eq!(agent.does(), [unload("a")]);
+    assert_eq!(agent.schedule(), [unload("a")]);
 }
 
 #[test]
-fn new_agent_unloads_nothing_before_it_has_settled() {
+fn new_agent_unloads_nothing_during_its_settling_time() {
     let mut agent = Agent::unsettled(1, &["a"]);
     agent.ask("b");
-    assert_eq!(agent.does(), []);
-    agent.pass(SETTLE);
-    assert_eq!(agent.does(), [unload("a")]);
+    assert_eq!(agent.schedule(), []);
+    agent.advance(SETTLE);
+    assert_eq!(agent.schedule(), [unload("a")]);
 }
 
 #[test]
 fn late_report_does_not_bring_back_an_unloaded_adapter() {
     let mut agent = Agent::new(1, &["a"]);
     agent.ask("b");
-    assert_eq!(agent.does(), [unload("a")]);
+    assert_eq!(agent.schedule(), [unload("a")]);
     agent.unloaded("a");
     agent.report("run-1", &["a"]);
     agent.ask("a");
-    assert_eq!(agent.does(), [load("b")]);
+    assert_eq!(agent.schedule(), [load("b")]);
 }
 
 #[test]
-fn busy_adapter_makes_room_for_one_that_waits_long() {
+fn busy_adapter_is_evicted_after_a_long_wait() {
     let mut agent = Agent::new(1, &["a"]);
     let first = agent.ask("a");
-    assert_eq!(agent.does(), [Action::Start(first)]);
+    assert_eq!(agent.schedule(), [Action::Start(first)]);
     let cold = agent.ask("b");
-    agent.pass(PATIENCE);
-    assert_eq!(agent.does(), []);
+    agent.advance(PATIENCE);
+    assert_eq!(agent.schedule(), []);
     // From now on no request for `a` starts, so that its last pin is released.
     agent.ask("a");
-    assert_eq!(agent.does(), []);
+    assert_eq!(agent.schedule(), []);
     agent.ended(first);
-    assert_eq!(agent.does(), [unload("a")]);
+    assert_eq!(agent.schedule(), [unload("a")]);
     agent.unloaded("a");
-    assert_eq!(agent.does(), [load("b")]);
+    assert_eq!(agent.schedule(), [load("b")]);
     agent.loaded("b", true);
-    assert_eq!(agent.does()[0], Action::Start(cold));
+    assert_eq!(agent.schedule()[0], Action::Start(cold));
 }
 
 #[test]
 fn urgent_requests_go_first() {
     let mut agent = Agent::new(4, &["a", "b"]);
     let ids = [agent.ask_with("a", 7), agent.ask_with("b", 1), agent.ask_with("a", 3)];
-    assert_eq!(agent.does(), [Action::Start(ids[1]), Action::Start(ids[2])]);
+    assert_eq!(agent.schedule(), [Action::Start(ids[1]), Action::Start(ids[2])]);
 }
 
 #[test]
@@ -202,44 +202,44 @@
     let mut agent = Agent::new(2, &["a", "b"]);
     for name in ["a", "a", "b"] {
         let id = agent.ask(name);
-        assert_eq!(agent.does(), [Action::Start(id)]);
+        assert_eq!(agent.schedule(), [Action::Start(id)]);
         agent.ended(id);
     }
     agent.ask("c");
-    assert_eq!(agent.does(), [unload("b")]);
+    assert_eq!(agent.schedule(), [unload("b")]);
 }
 
 #[test]
-fn new_run_of_the_engine_holds_nothing() {
+fn new_run_of_the_engine_has_no_adapters() {
     let mut agent = Agent::new(2, &["a"]);
     let user = agent.ask("a");
-    assert_eq!(agent.does(), [Action::Start(user)]);
+    assert_eq!(agent.schedule(), [Action::Start(user)]);
     agent.report("run-2", &[]);
     let other = agent.ask("a");
-    assert_eq!(agent.does(), [load("a")]);
+    assert_eq!(agent.schedule(), [load("a")]);
     agent.loaded("a", true);
     // The end of a request of the old run releases no pin in the new run.
-    assert_eq!(agent.does(), [Action::Start(other)]);
+    assert_eq!(agent.schedule(), [Action::Start(other)]);
     agent.ended(user);
     assert_eq!(agent.slots.pins(&target("a")), 1);
 }
 
 #[test]
-fn failed_load_refuses_those_who_wait_and_backs_off() {
+fn failed_load_refuses_waiting_requests_and_backs_off() {
     let mut agent = Agent::new(2, &[]);
     let id = agent.ask("a");
-    assert_eq!(agent.does(), [load("a")]);
+    assert_eq!(agent.schedule(), [load("a")]);
     agent.loaded("a", false);
-    let actions = agent.does();
+    let actions = agent.schedule();
     let [Action::Refuse(refused, refusal)] = &actions[..] else { panic!("{actions:?}") };
     assert_eq!((*refused, refusal.outcome), (id, Outcome::NotRun));
     assert_eq!(refusal.step, Step::Load);
     assert!(refusal.elsewhere);
     let again = agent.slots.admit(agent.now, 9, agent.request("a", 5, MINUTE));
     assert!(again.unwrap_err().retry_after.is_some());
-    agent.pass(MINUTE);
+    agent.advance(MINUTE);
     agent.ask("a");
-    assert_eq!(agent.does(), [load("a")]);
+    assert_eq!(agent.schedule(), [load("a")]);
 }
 
 #[test]
@@ -273,49 +273,49 @@
 }
 
 #[test]
-fn draining_refuses_what_waits_and_lets_run_what_runs() {
+fn draining_refuses_waiting_and_finishes_running_requests() {
     let mut agent = Agent::new(1, &["a"]);
     let runs = agent.ask("a");
-    assert_eq!(agent.does(), [Action::Start(runs)]);
+    assert_eq!(agent.schedule(), [Action::Start(runs)]);
     let waits = agent.ask("b");
     agent.slots.drain(true);
-    let actions = agent.does();
+    let actions = agent.schedule();
     assert!(matches!(actions[..], [Action::Refuse(id, _)] if id == waits), "{actions:?}");
     assert!(!agent.slots.is_idle());
     agent.ended(runs);
     assert!(agent.slots.is_idle());
     agent.slots.drain(false);
     let again = agent.ask("a");
-    assert_eq!(agent.does(), [Action::Start(again)]);
+    assert_eq!(agent.schedule(), [Action::Start(again)]);
 }
 
 #[test]
-fn adapter_that_returns_is_known_by_its_past_uses() {
+fn reloaded_adapter_keeps_its_use_count() {
     let mut agent = Agent::new(2, &["often", "other"]);
     for _ in 0..3 {
         let id = agent.ask("often");
-        assert_eq!(agent.does(), [Action::Start(id)]);
+        assert_eq!(agent.schedule(), [Action::Start(id)]);
         agent.ended(id);
     }
     // The adapter is unloaded, as the other one is in use, and is loaded again.
     let user = agent.ask("other");
-    assert_eq!(agent.does(), [Action::Start(user)]);
+    assert_eq!(agent.schedule(), [Action::Start(user)]);
     agent.ask("third");
-    assert_eq!(agent.does(), [unload("often")]);
+    assert_eq!(agent.schedule(), [unload("often")]);
     agent.unloaded("often");
-    assert_eq!(agent.does(), [load("third")]);
+    assert_eq!(agent.schedule(), [load("third")]);
     agent.loaded("third", true);
     let third = agent.next;
-    assert_eq!(agent.does(), [Action::Start(third)]);
+    assert_eq!(agent.schedule(), [Action::Start(third)]);
     agent.ended(user);
     let back = agent.ask("often");
-    assert_eq!(agent.does(), [unload("other")]);
+    assert_eq!(agent.schedule(), [unload("other")]);
     agent.unloaded("other");
-    assert_eq!(agent.does(), [load("often")]);
+    assert_eq!(agent.schedule(), [load("often")]);
     agent.loaded("often", true);
     agent.ended(third);
-    assert_eq!(agent.does(), [Action::Start(back)]);
+    assert_eq!(agent.schedule(), [Action::Start(back)]);
     agent.ended(back);
     agent.ask("fourth");
-    assert_eq!(agent.does(), [unload("third")]);
+    assert_eq!(agent.schedule(), [unload("third")]);
 }
--- a/crates/larkspring-core/tests/slots_fresh.rs
+++ b/crates/larkspring-core/tests/slots_fresh.rs
@@ -7,9 +7,9 @@
 use larkspring_core::ids::{AttemptId, Incarnation, Target};
 use larkspring_core::slots::{Action, Eviction, Limits, LoadOrder, Slots, Waiting};
 
-fn slots(places: usize) -> Slots {
+fn slots(adapter_slots: usize) -> Slots {
     Slots::new(Limits {
-        slots: places,
+        slots: adapter_slots,
         max_running: usize::MAX,
         max_waiting: 100,
         max_loading: 4,
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn another_version_goes_before_the_new_one_comes() {
+fn old_version_is_unloaded_before_the_new_one_loads() {
     let now = Instant::now();
     let mut slots = slots(4);
     slots.engine_is_now(now, &run(), &[a(1)], &[], |_| true);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_fresh_report_settles_a_load() {
+fn current_report_decides_the_result_of_a_load() {
     let cases = [
         Case {
             name: "held",
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn requests_of_an_earlier_life_pin_their_adapter() {
+fn adopted_requests_pin_their_adapter() {
     let now = Instant::now();
     let mut slots = slots(1);
     assert!(!slots.adopt(now, 1, &a(1)), "not reported yet");
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_new_run_holds_nothing() {
+fn new_run_has_no_adapters() {
     let now = Instant::now();
     let mut slots = slots(2);
     slots.engine_is_now(now, &run(), &[a(1)], &[], |_| true);
@@ -158,7 +158,7 @@
 /// loads and restarts, the engine is never ordered to hold more adapters than it has
 /// slots or two versions of an adapter, nor to unload an adapter in use.
 #[test]
-fn no_order_breaks_the_engine() {
+fn no_order_violates_the_engine_limits() {
     for seed in 0..200 {
         let mut engine = Engine::new(seed);
         for _ in 0..400 {
@@ -167,7 +167,7 @@
     }
 }
 
-const PLACES: usize = 3;
+const ADAPTER_SLOTS: usize = 3;
 
 struct Engine {
     rng: Rng,
@@ -188,7 +188,7 @@
             rng: Rng::with_seed(seed),
             seed,
             now: Instant::now(),
-            slots: slots(PLACES),
+            slots: slots(ADAPTER_SLOTS),
             holds: Vec::new(),
             pending: Vec::new(),
             runs: 0,
@@ -274,7 +274,10 @@
                 let same = all.clone().filter(|t| t.adapter == target.adapter).count();
                 assert_eq!(same, 0, "seed {seed}: two versions of {target}");
                 let held = all.count();
-                assert!(held < PLACES, "seed {seed}: {held} held, {target} ordered");
+                assert!(
+                    held < ADAPTER_SLOTS,
+                    "seed {seed}: {held} held, {target} ordered"
+                );
                 self.pending.push(target);
             }
             Action::Unload(target) => {
--- a/crates/larkspring-core/tests/slots_loading.rs
+++ b/crates/larkspring-core/tests/slots_loading.rs
@@ -9,15 +9,15 @@
 const MAX_LOADING: usize = 4;
 
 /// A request that waits for an adapter.
-struct Asked {
+struct Request {
     adapter: &'static str,
     /// Milliseconds until the answer is late.
     due: u64,
     worth: f64,
 }
 
-fn asked(adapter: &'static str, due: u64, worth: f64) -> Asked {
-    Asked { adapter, due, worth }
+fn request(adapter: &'static str, due: u64, worth: f64) -> Request {
+    Request { adapter, due, worth }
 }
 
 fn slots(places: usize, max_loading: usize, order: LoadOrder, paced: bool) -> Slots {
@@ -42,14 +42,14 @@
     Target::new(&format!("m/{adapter}"), "1")
 }
 
-fn waiting(now: Instant, asked: &Asked) -> Waiting {
+fn waiting(now: Instant, request: &Request) -> Waiting {
     Waiting {
-        target: target(asked.adapter),
+        target: target(request.adapter),
         priority: 1,
         since: now,
         deadline: now + Duration::from_secs(60),
-        due: now + Duration::from_millis(asked.due),
-        worth: asked.worth,
+        due: now + Duration::from_millis(request.due),
+        worth: request.worth,
     }
 }
 
@@ -62,47 +62,47 @@
 }
 
 #[test]
-fn the_load_worth_most_comes_first() {
+fn load_with_the_highest_utility_comes_first() {
     struct Case {
         name: &'static str,
-        asked: Vec<Asked>,
+        requests: Vec<Request>,
         first: &'static str,
     }
     let cases = [
         Case {
             name: "what can be in time before what is late",
-            asked: vec![asked("late", 0, 1.0), asked("timely", 600, 1.0)],
+            requests: vec![request("late", 0, 1.0), request("timely", 600, 1.0)],
             first: "timely",
         },
         Case {
             name: "what is late in any case counts as late",
-            asked: vec![asked("late", 50, 1.0), asked("timely", 600, 1.0)],
+            requests: vec![request("late", 50, 1.0), request("timely", 600, 1.0)],
             first: "timely",
         },
         Case {
             name: "a long prompt before a short one",
-            asked: vec![asked("short", 600, 1.2), asked("long", 600, 3.7)],
+            requests: vec![request("short", 600, 1.2), request("long", 600, 3.7)],
             first: "long",
         },
         Case {
             name: "many late answers before a timely one",
-            asked: vec![
-                asked("one", 600, 1.0),
-                asked("many", 0, 1.0),
-                asked("many", 0, 1.0),
-                asked("many", 0, 1.0),
-                asked("many", 0, 1.0),
+            requests: vec![
+                request("one", 600, 1.0),
+                request("many", 0, 1.0),
+                request("many", 0, 1.0),
+                request("many", 0, 1.0),
+                request("many", 0, 1.0),
             ],
             first: "many",
         },
         Case {
             name: "of equals the one that is due first",
-            asked: vec![asked("later", 900, 1.0), asked("sooner", 600, 1.0)],
+            requests: vec![request("later", 900, 1.0), request("sooner", 600, 1.0)],
             first: "sooner",
         },
         Case {
             name: "of late ones the one that is late for longest",
-            asked: vec![asked("later", 20, 1.0), asked("sooner", 10, 1.0)],
+            requests: vec![request("later", 20, 1.0), request("sooner", 10, 1.0)],
             first: "sooner",
         },
     ];
@@ -110,9 +110,9 @@
         let now = Instant::now();
         let mut slots = slots(4, 1, LoadOrder::Worth, false);
         slots.engine_is_now(now, &run(), &[], &[], |_| true);
-        for (id, asked) in c.asked.iter().enumerate() {
+        for (id, request) in c.requests.iter().enumerate() {
             let id = id as AttemptId;
-            slots.admit(now, id, waiting(now, asked)).expect("admitted");
+            slots.admit(now, id, waiting(now, request)).expect("admitted");
         }
         assert_eq!(loads(&slots.schedule(now)), [target(c.first)], "{}", c.name);
     }
@@ -136,9 +136,9 @@
         Self { slots, now, fetching: Vec::new(), next: 0 }
     }
 
-    /// Advances time while fetches take `spent`; returns the mean number of concurrent
+    /// Advances time while fetches take `duration`; returns the mean number of concurrent
     /// fetches.
-    fn pass(&mut self, time: Duration, spent: Duration) -> f64 {
+    fn advance(&mut self, time: Duration, duration: Duration) -> f64 {
         let (mut sum, mut steps) = (0, 0);
         let end = self.now + time;
         while self.now < end {
@@ -149,7 +149,8 @@
                 self.slots.loaded(now, &target, true);
             }
             let loads = loads(&self.slots.schedule(now));
-            self.fetching.extend(loads.into_iter().map(|target| (target, now + spent)));
+            self.fetching
+                .extend(loads.into_iter().map(|target| (target, now + duration)));
             sum += self.fetching.len();
             steps += 1;
         }
@@ -162,7 +163,7 @@
             let now = self.now;
             let req = Waiting {
                 target: target(&self.next.to_string()),
-                ..waiting(now, &asked("", 600, 1.0))
+                ..waiting(now, &request("", 600, 1.0))
             };
             self.slots.admit(now, self.next as AttemptId, req).expect("admitted");
             self.next += 1;
@@ -171,7 +172,7 @@
 }
 
 #[test]
-fn fetches_at_a_time_follow_what_the_store_gives() {
+fn concurrent_fetches_follow_the_speed_of_the_store() {
     let quick = Duration::from_millis(250);
     let second = Duration::from_secs(1);
     let mut engine = Engine::new(Instant::now());
@@ -179,27 +180,27 @@
     let first = loads(&engine.slots.schedule(engine.now));
     assert_eq!(first.len(), 1, "nothing is known of the store");
     engine.fetching.push((first[0].clone(), engine.now + quick));
-    engine.pass(5 * second, quick);
-    let open = engine.pass(2 * second, quick);
+    engine.advance(5 * second, quick);
+    let open = engine.advance(2 * second, quick);
     assert!(open > 3.5, "a store that is not full is used: {open}");
-    engine.pass(5 * second, 4 * quick);
-    let full = engine.pass(4 * second, 4 * quick);
+    engine.advance(5 * second, 4 * quick);
+    let full = engine.advance(4 * second, 4 * quick);
     assert!(full < 0.7, "fetches wait here while the store is full: {full}");
-    engine.pass(3 * second, quick);
-    let again = engine.pass(2 * second, quick);
+    engine.advance(3 * second, quick);
+    let again = engine.advance(2 * second, quick);
     assert!(again > 3.5, "the store has room again: {again}");
 }
 
 #[test]
-fn copies_do_not_wait_for_the_store() {
+fn loads_from_host_memory_do_not_wait_for_the_store() {
     let quick = Duration::from_millis(250);
     let mut engine = Engine::new(Instant::now());
     let copied = target("copied");
     let held = [copied.clone()];
     engine.slots.engine_is_now(engine.now, &run(), &held, &[], |_| true);
     // The store is overloaded, and the engine's only permitted fetch is in progress.
-    engine.pass(Duration::from_secs(2), quick);
-    engine.pass(Duration::from_secs(4), 8 * quick);
+    engine.advance(Duration::from_secs(2), quick);
+    engine.advance(Duration::from_secs(4), 8 * quick);
     let now = engine.now;
     let fetching: Vec<_> = engine.fetching.iter().map(|(t, _)| t.clone()).collect();
     let resident: Vec<_> =
@@ -207,27 +208,27 @@
     // The engine has unloaded the adapter meanwhile, but its VM still has the host-memory
     // copy.
     engine.slots.engine_is_now(now, &run(), &resident, &fetching, |_| true);
-    let req = waiting(now, &asked("copied", 600, 100.0));
+    let req = waiting(now, &request("copied", 600, 100.0));
     engine.slots.admit(now, AttemptId::MAX, req).expect("admitted");
     assert_eq!(loads(&engine.slots.schedule(now)), [copied]);
 }
 
 #[test]
-fn loads_of_copies_that_are_not_known_do_not_make_fetches_look_slow() {
+fn unknown_host_copies_do_not_make_fetches_look_slow() {
     let quick = Duration::from_millis(250);
     let mut engine = Engine::new(Instant::now());
-    engine.pass(Duration::from_secs(1), Duration::from_millis(30));
-    engine.pass(Duration::from_secs(5), quick);
-    let open = engine.pass(Duration::from_secs(2), quick);
+    engine.advance(Duration::from_secs(1), Duration::from_millis(30));
+    engine.advance(Duration::from_secs(5), quick);
+    let open = engine.advance(Duration::from_secs(2), quick);
     assert!(open > 3.5, "a store that is not full is used: {open}");
 }
 
 #[test]
-fn the_wait_for_an_order_is_not_taken_for_a_full_store() {
+fn wait_for_an_order_does_not_count_as_store_overload() {
     let quick = Duration::from_millis(250);
     let lost = Duration::from_millis(600);
     let mut engine = Engine::new(Instant::now());
-    engine.pass(Duration::from_secs(5), quick);
+    engine.advance(Duration::from_secs(5), quick);
     let mut ordered: Vec<_> = engine.fetching.drain(..).map(|(t, _)| t).collect();
     // Every order is answered late, and each load takes as long as before from there.
     for _ in 0..8 {
--- a/crates/larkspring-core/tests/slots_random.rs
+++ b/crates/larkspring-core/tests/slots_random.rs
@@ -17,7 +17,7 @@
 
 #[derive(Debug, Clone)]
 enum Event {
-    Ask { adapter: u8, priority: u32 },
+    Request { adapter: u8, priority: u32 },
     Abandon(u8),
     End(u8),
     Load { nth: u8, ok: bool },
@@ -25,13 +25,13 @@
     Report { lag: u8 },
     Restart,
     Lost,
-    Pass(u64),
+    Wait(u64),
 }
 
 fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
         6 => (0..ADAPTERS, 0..10u32)
-            .prop_map(|(adapter, priority)| Event::Ask { adapter, priority }),
+            .prop_map(|(adapter, priority)| Event::Request { adapter, priority }),
         1 => any::<u8>().prop_map(Event::Abandon),
         5 => any::<u8>().prop_map(Event::End),
         5 => (any::<u8>(), prop::bool::weighted(0.8))
@@ -41,12 +41,12 @@
         3 => (0..REPORT_LAG as u8).prop_map(|lag| Event::Report { lag }),
         1 => Just(Event::Restart),
         1 => Just(Event::Lost),
-        3 => (1..3000u64).prop_map(Event::Pass),
+        3 => (1..3000u64).prop_map(Event::Wait),
     ]
 }
 
 /// The actual state of the engine, next to the scheduling state that is based on reports.
-struct World {
+struct Simulation {
     slots: Slots,
     now: Instant,
     run: u32,
@@ -71,7 +71,7 @@
     (!all.is_empty()).then(|| all[nth as usize % all.len()])
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         let limits = Limits {
             slots: SLOTS,
@@ -84,7 +84,7 @@
             eviction: Eviction::Heat,
             order: LoadOrder::Urgency,
         };
-        let mut world = Self {
+        let mut simulation = Self {
             slots: Slots::new(limits),
             now: Instant::now(),
             run: 1,
@@ -96,13 +96,13 @@
             running: BTreeMap::new(),
             next: 0,
         };
-        world.report(0);
-        world
+        simulation.report(0);
+        simulation
     }
 
     fn apply(&mut self, event: Event) {
         match event {
-            Event::Ask { adapter, priority } => self.ask(adapter, priority),
+            Event::Request { adapter, priority } => self.request(adapter, priority),
             Event::Abandon(nth) => {
                 let ids: Vec<_> = self.waiting.keys().copied().collect();
                 if let Some(id) = pick(&ids, nth) {
@@ -145,12 +145,12 @@
                 self.report(0);
             }
             Event::Lost => self.slots.engine_lost(),
-            Event::Pass(ms) => self.now += Duration::from_millis(ms),
+            Event::Wait(ms) => self.now += Duration::from_millis(ms),
         }
         self.history.push((self.run, self.loaded.clone()));
     }
 
-    fn ask(&mut self, adapter: u8, priority: u32) {
+    fn request(&mut self, adapter: u8, priority: u32) {
         self.next += 1;
         let deadline = self.now + Duration::from_secs(3600);
         let req = Waiting {
@@ -220,11 +220,11 @@
     })]
 
     #[test]
-    fn nothing_in_use_is_unloaded(events in prop::collection::vec(event(), 1..150)) {
-        let mut world = World::new();
+    fn adapters_in_use_are_never_unloaded(events in prop::collection::vec(event(), 1..150)) {
+        let mut simulation = Simulation::new();
         for event in events {
-            world.apply(event);
-            world.schedule();
+            simulation.apply(event);
+            simulation.schedule();
         }
     }
 }
