--- a/crates/larkspring-core/src/budget.rs
+++ b/crates/larkspring-core/src/budget.rs
@@ -1,8 +1,8 @@
 //! The weight store's load budget, granted load by load.
 //!
-//! One process grants for all agents. Two of them at the same time, as after a pause of
-//! one, reduce speed but break no guarantee: the store itself refuses loads above its
-//! rate.
+//! A single process grants for all agents. Two of them at the same time, as after a pause
+//! of the first, reduce speed but break no guarantee: the store itself refuses loads
+//! above its rate.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
--- a/crates/larkspring-core/src/fleet/availability.rs
+++ b/crates/larkspring-core/src/fleet/availability.rs
@@ -73,8 +73,8 @@
         *self == Self::default()
     }
 
-    /// Returns the notice for an answer that does not come from the endpoint, where a
-    /// missing rate does not mean that the endpoint has no limit.
+    /// Returns the notice with a missing rate replaced by [`RateWord::Unreadable`], for
+    /// answers in which a missing rate does not show that the endpoint has no limit.
     pub fn without_silence(self) -> Self {
         match self.rate {
             RateWord::Silent => Self { rate: RateWord::Unreadable, ..self },
--- a/crates/larkspring-core/src/fleet/choose.rs
+++ b/crates/larkspring-core/src/fleet/choose.rs
@@ -109,8 +109,8 @@
 /// Cost of a load at a rate-limited endpoint, which may refuse the request after the
 /// load, so that the adapter is fetched again elsewhere.
 const RATE_LIMITED_LOAD_MS: f64 = 1_000.0;
-/// Cost of an endpoint with a recent connection failure: chosen only if all endpoints
-/// have one.
+/// Cost of an endpoint with a recent connection failure, which is chosen only if no other
+/// endpoint is left.
 const AVOIDED_MS: f64 = 10_000.0;
 /// Highest rank that adds cost; endpoints ranked lower cost the same.
 const MAX_RANK: usize = 6;
@@ -165,7 +165,7 @@
     ahead + slot_wait + base_load
 }
 
-/// Cost of adding the request to the endpoint's batch.
+/// Returns the cost of adding the request to the endpoint's batch.
 pub fn batch_cost(v: &View) -> f64 {
     let excess = (v.running + 1).saturating_sub(v.slots);
     let queue = f64::from(excess) * ANSWER_MS / f64::from(v.slots.max(1));
--- a/crates/larkspring-core/src/fleet/members.rs
+++ b/crates/larkspring-core/src/fleet/members.rs
@@ -50,8 +50,8 @@
     pub slots: usize,
     /// Whether the endpoint is draining, so takes no new requests.
     pub leaving: bool,
-    /// Increases with each listed run, so that of two runs at the same address the later
-    /// one is known.
+    /// Increases with each listed run, so that the later of two runs at the same address
+    /// is known.
     pub listed_since: StorePoint,
     /// Start of the run, if reported. The same name with another start is another run.
     pub start: Option<StartMs>,
--- a/crates/larkspring-core/src/retry.rs
+++ b/crates/larkspring-core/src/retry.rs
@@ -31,7 +31,7 @@
         self.credit = (self.credit + self.percent).min(MAX_BURST * RETRY_COST);
     }
 
-    /// Takes one retry from the budget. Returns whether there was one.
+    /// Takes a retry from the budget. Returns false if the budget is used up.
     pub fn spend(&mut self) -> bool {
         let Some(remaining) = self.credit.checked_sub(RETRY_COST) else { return false };
         self.credit = remaining;
@@ -101,8 +101,8 @@
         self.slice(now).requests += 1;
     }
 
-    /// Takes one retry from the budget, which `entries` share. Returns whether there was
-    /// one.
+    /// Takes a retry from the budget, which `entries` share. Returns false if the budget
+    /// is used up.
     pub fn repeat(&mut self, now: Instant, entries: usize) -> bool {
         self.slice(now);
         let requests: u32 = self.slices.iter().map(|s| s.requests).sum();
--- a/crates/larkspring-core/src/slots.rs
+++ b/crates/larkspring-core/src/slots.rs
@@ -269,8 +269,8 @@
             if !known && self.unloaded.contains_key(&held.target) {
                 continue;
             }
-            let fresh = || Residency::new(now, Phase::Resident);
-            let adapter = self.adapters.entry(held.target.clone()).or_insert_with(fresh);
+            let new = || Residency::new(now, Phase::Resident);
+            let adapter = self.adapters.entry(held.target.clone()).or_insert_with(new);
             adapter.other_requests = held.foreign;
         }
     }
