--- a/crates/larkspring-core/tests/slots_random.rs
+++ b/crates/larkspring-core/tests/slots_random.rs
@@ -220,7 +220,7 @@
     })]
 
     #[test]
-    fn adapters_in_use_are_never_unloaded(events in prop::collection::vec(event(), 1..150)) {
+    fn adapters_in_use_are_kept(events in prop::collection::vec(event(), 1..150)) {
         let mut simulation = Simulation::new();
         for event in events {
             simulation.apply(event);
