--- a/crates/larkspring-core/src/budget.rs
+++ b/crates/larkspring-core/src/budget.rs
@@ -1,28 +1,29 @@
-//! The weight store's budget, given out load by load.
+//! The weight store's load budget, granted load by load.
 //!
-//! One process grants for all agents. Two of them at a time, as after a pause, cost speed
-//! and no promise: the store itself refuses what is over its rate.
+//! A single process grants for all agents. Two of them at the same time, as after a pause
+//! of the first, reduce speed but break no guarantee: the store itself refuses loads
+//! above its rate.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Loads that wait and loads that were granted.
+/// The waiting and the granted loads.
 #[derive(Debug)]
 pub struct Budget {
     limits: BudgetLimits,
-    /// Loads that may begin now, by the rate.
-    saved: f64,
-    filled: Option<Instant>,
-    waiting: HashMap<LoadId, Wait>,
+    /// Loads that the rate allows to begin now.
+    available: f64,
+    refilled_at: Option<Instant>,
+    waiting: HashMap<LoadId, WaitingLoad>,
     active: HashMap<LoadId, Instant>,
 }
 
-/// What the weight store gives in all.
+/// Limits of the weight store, for all agents together.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BudgetLimits {
     /// Loads a second.
     pub rate: f64,
-    /// Loads at a time.
+    /// Concurrent loads.
     pub concurrency: usize,
 }
 
@@ -30,37 +31,38 @@
 pub type LoadId = String;
 
 #[derive(Debug)]
-struct Wait {
+struct WaitingLoad {
     since: Instant,
     priority: u32,
     waiting: u32,
 }
 
-/// A load not reported as ended counts as ended after this time.
-const LOST: Duration = Duration::from_secs(30);
-/// Each request that waits puts a load forward by this much.
-const FORWARD: Duration = Duration::from_millis(250);
-/// Each step of priority puts a load back by this much, so that none waits for ever.
-const BACK: Duration = Duration::from_secs(2);
+/// Time after which a load that was not reported as ended counts as ended.
+const LOAD_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time by which each waiting request advances a load.
+const ADVANCE_PER_REQUEST: Duration = Duration::from_millis(250);
+/// Time by which each step of priority delays a load. The delay is finite, so that no
+/// load waits for ever.
+const DELAY_PER_PRIORITY: Duration = Duration::from_secs(2);
 
 impl Budget {
-    /// Creates a budget of which nothing is in use.
+    /// Creates an unused budget.
     pub fn new(limits: BudgetLimits) -> Self {
         Self {
             limits,
-            saved: 0.0,
-            filled: None,
+            available: 0.0,
+            refilled_at: None,
             waiting: HashMap::new(),
             active: HashMap::new(),
         }
     }
 
-    /// Takes in a load that wants to begin.
+    /// Adds a load that waits to begin.
     pub fn ask(&mut self, now: Instant, load: LoadId, priority: u32, waiting: u32) {
-        self.waiting.insert(load, Wait { since: now, priority, waiting });
+        self.waiting.insert(load, WaitingLoad { since: now, priority, waiting });
     }
 
-    /// Takes back a load that no longer wants to begin.
+    /// Withdraws a load that no longer waits to begin.
     pub fn withdraw(&mut self, load: &str) {
         self.waiting.remove(load);
     }
@@ -70,56 +72,58 @@
         self.active.remove(load);
     }
 
-    /// Returns the loads that may begin now, the most pressing first.
+    /// Returns the loads that may begin now, the most urgent first.
     pub fn grant(&mut self, now: Instant) -> Vec<LoadId> {
-        self.fill(now);
-        self.active.retain(|_, since| now.saturating_duration_since(*since) < LOST);
+        self.refill(now);
+        self.active
+            .retain(|_, since| now.saturating_duration_since(*since) < LOAD_TIMEOUT);
         let mut granted = Vec::new();
-        while self.saved >= 1.0 && self.active.len() < self.limits.concurrency {
+        while self.available >= 1.0 && self.active.len() < self.limits.concurrency {
             let Some(load) = self.first() else { break };
             self.waiting.remove(&load);
             self.active.insert(load.clone(), now);
-            self.saved -= 1.0;
+            self.available -= 1.0;
             granted.push(load);
         }
         granted
     }
 
-    /// Returns when to look again if nothing is reported till then; `None` if no load
-    /// waits. After a look at the same time it lies in the future.
+    /// Returns when to call [`Budget::grant`] again if no event is recorded before;
+    /// `None` if no load waits. After a call of `grant` with the same `now`, the time
+    /// lies in the future.
     pub fn next(&self, now: Instant) -> Option<Instant> {
         if self.waiting.is_empty() {
             return None;
         }
         if self.active.len() >= self.limits.concurrency {
-            return self.active.values().min().map(|since| *since + LOST);
+            return self.active.values().min().map(|since| *since + LOAD_TIMEOUT);
         }
-        let missing = (1.0 - self.saved).max(0.0);
+        let missing = (1.0 - self.available).max(0.0);
         Some(now + Duration::from_secs_f64(missing / self.limits.rate.max(1e-3)))
     }
 
-    fn fill(&mut self, now: Instant) {
-        let most = self.limits.concurrency as f64;
-        let gained = match self.filled.replace(now) {
-            None => most,
+    fn refill(&mut self, now: Instant) {
+        let capacity = self.limits.concurrency as f64;
+        let gained = match self.refilled_at.replace(now) {
+            None => capacity,
             Some(at) => {
                 now.saturating_duration_since(at).as_secs_f64() * self.limits.rate
             }
         };
-        self.saved = (self.saved + gained).min(most);
+        self.available = (self.available + gained).min(capacity);
     }
 
     fn first(&self) -> Option<LoadId> {
-        let pressing =
-            self.waiting.iter().min_by_key(|(load, wait)| (wait.rank(), *load));
-        pressing.map(|(load, _)| load.clone())
+        let urgent = self.waiting.iter().min_by_key(|(load, wait)| (wait.rank(), *load));
+        urgent.map(|(load, _)| load.clone())
     }
 }
 
-impl Wait {
-    /// The time at which a load of the least pressing kind would be as pressing.
+impl WaitingLoad {
+    /// The load's position in the queue: its arrival time, adjusted for priority and
+    /// waiting requests.
     fn rank(&self) -> Instant {
-        let put_back = self.since + BACK * self.priority;
-        put_back.checked_sub(FORWARD * self.waiting).unwrap_or(put_back)
+        let delayed = self.since + DELAY_PER_PRIORITY * self.priority;
+        delayed.checked_sub(ADVANCE_PER_REQUEST * self.waiting).unwrap_or(delayed)
     }
 }
--- a/crates/larkspring-core/src/fleet/members.rs
+++ b/crates/larkspring-core/src/fleet/members.rs
@@ -1,8 +1,8 @@
 //! The endpoints of a fleet, as the platform lists them.
 //!
-//! While the platform's store is away, leases of healthy endpoints may run out there. Such
-//! an endpoint is listed again soon after the store is back, so one that is missing just
-//! after an outage is kept for a while.
+//! While the platform's store is unavailable, leases of healthy endpoints may expire
+//! there. These endpoints are listed again soon after the store recovers, so an endpoint
+//! that is missing just after an outage is kept for a grace period.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -13,61 +13,62 @@
     HallId, Incarnation, ServiceId, StartMs, StoreEpoch, StorePoint, Target,
 };
 
-/// The endpoints that are listed, and those that may be listed again.
+/// The endpoints that are listed, and those that are kept for a grace period.
 #[derive(Debug, Default)]
 pub struct Members {
     listed: HashMap<Incarnation, Member>,
-    /// The last runs that ended, with their starts.
-    ended: HashMap<Incarnation, Ended>,
-    ends: u64,
-    /// The history that was read last.
+    /// The last runs that ended.
+    ended: HashMap<Incarnation, EndedRun>,
+    ended_count: u64,
+    /// The epoch of the last read.
     epoch: Option<StoreEpoch>,
-    /// Where reading began in a history that a restored store went on with. What was written
-    /// before may be older than what is known.
-    restored: Option<StorePoint>,
+    /// The point at which reading began after the store was restored from a copy. Entries
+    /// written before may be outdated.
+    restored_at: Option<StorePoint>,
 }
 
 /// A run that ended.
 #[derive(Debug)]
-struct Ended {
+struct EndedRun {
     start: Option<StartMs>,
-    /// Number of the end.
+    /// Sequence number of the end, by which the oldest one is dropped.
     number: u64,
 }
 
 /// One run of an endpoint.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Endpoint {
-    /// Name of the run; a restart brings another one.
+    /// Name of the run; each restart has a new name.
     pub id: Incarnation,
-    /// Service that it belongs to.
+    /// The service that the endpoint belongs to.
     pub service: ServiceId,
-    /// Where it takes requests.
+    /// The address at which the endpoint accepts requests.
     pub addr: SocketAddr,
-    /// Its hall.
+    /// The hall of the endpoint.
     pub hall: HallId,
-    /// Requests that it works on at a time.
+    /// Requests that the endpoint processes concurrently.
     pub slots: usize,
-    /// Whether it takes new requests.
+    /// Whether the endpoint is draining, so takes no new requests.
     pub leaving: bool,
-    /// Rises with each run that is listed, so that of two at one address the later is known.
+    /// Increases with each listed run, so that the later of two runs at the same address
+    /// is known.
     pub listed_since: StorePoint,
-    /// When the run began, if it says so. Another start under the same name is another run.
+    /// Start of the run, if reported. The same name with another start is another run.
     pub start: Option<StartMs>,
-    /// Adapters that it said it holds.
+    /// Adapters that the endpoint reported as resident.
     pub holds: Vec<Target>,
 }
 
 #[derive(Debug)]
 struct Member {
     endpoint: Arc<Endpoint>,
-    /// When the endpoint counts as gone, if it is missing after an outage.
-    lapses_at: Option<Instant>,
+    /// When an endpoint that is missing after an outage is removed.
+    expires_at: Option<Instant>,
 }
 
 impl Endpoint {
-    /// Returns a run that came back at the same address and that the platform does not list
-    /// yet: it holds nothing, and takes requests.
+    /// Returns a new run at the same address that the platform does not list yet. The run
+    /// holds no adapters and accepts requests.
     pub fn next_run(&self, id: Incarnation) -> Self {
         let listed_since = self.listed_since.next();
         Self {
@@ -81,33 +82,34 @@
     }
 }
 
-/// How long after an outage's end a missing endpoint is kept.
+/// How long after the end of an outage a missing endpoint is kept.
 ///
-/// The platform's operators state about two seconds for the return of lapsed entries.
+/// The platform's operators state about two seconds for the return of expired entries.
 pub const LAPSE_GRACE: Duration = Duration::from_secs(2);
-/// Ended runs that are remembered: a copy of the store is some seconds old, and lists those
-/// that ended since.
+/// Ended runs that are kept: a restored copy of the store is some seconds old, and still
+/// lists the runs that ended since.
 const MAX_ENDED: usize = 4096;
 
 impl Members {
-    /// Records that the list is read at a point; says whether the store was restored from a
-    /// copy since the last one.
+    /// Records that the list is read at a point. Returns whether the store was restored
+    /// from a copy since the previous read.
     pub fn begin_epoch(&mut self, at: StorePoint) -> bool {
         let before = self.epoch.replace(at.epoch());
         let is_restored = before.is_some_and(|epoch| epoch != at.epoch());
         if is_restored {
-            self.restored = Some(at);
+            self.restored_at = Some(at);
         }
         is_restored
     }
 
-    /// Records a listed endpoint and when its entry was written; says whether anything
+    /// Records a listed endpoint and when its entry was written. Returns whether anything
     /// changed.
     ///
-    /// What a copy of the store lists brings back no run that ended, none from before the
-    /// one that is known, and none that leaves.
+    /// An entry from a restored copy of the store brings back neither a run that ended
+    /// nor a run older than the known one, and does not show a draining endpoint as
+    /// ready.
     pub fn put(&mut self, mut endpoint: Endpoint, written: StorePoint) -> bool {
-        let is_copied = self.restored.is_some_and(|at| written <= at);
+        let is_copied = self.restored_at.is_some_and(|at| written <= at);
         let ended = self.ended.get(&endpoint.id);
         let has_ended = ended.is_some_and(|ended| endpoint.start <= ended.start);
         let listed = self.listed.get(&endpoint.id);
@@ -117,7 +119,7 @@
         }
         self.ended.remove(&endpoint.id);
         if let Some(known) = self.listed.get_mut(&endpoint.id) {
-            known.lapses_at = None;
+            known.expires_at = None;
             let is_same_run = known.endpoint.start == endpoint.start;
             endpoint.leaving |= is_copied && is_same_run && known.endpoint.leaving;
             if *known.endpoint == endpoint {
@@ -127,23 +129,25 @@
             return true;
         }
         let id = endpoint.id.clone();
-        let member = Member { endpoint: Arc::new(endpoint), lapses_at: None };
+        let member = Member { endpoint: Arc::new(endpoint), expires_at: None };
         self.listed.insert(id, member);
         true
     }
 
-    /// Records that an endpoint is no longer listed; it is kept until `keep_until`.
+    /// Records that an endpoint is no longer listed. The endpoint is kept until
+    /// `keep_until`, unless it is draining.
     pub fn remove(&mut self, id: &Incarnation, keep_until: Option<Instant>) {
         match (keep_until, self.listed.get_mut(id)) {
             (Some(until), Some(member)) if !member.endpoint.leaving => {
-                member.lapses_at.get_or_insert(until);
+                member.expires_at.get_or_insert(until);
             }
             (_, Some(_)) => self.end(id),
             (_, None) => {}
         }
     }
 
-    /// Takes a whole list; what is missing there is treated as in [`Members::remove`].
+    /// Applies a complete list. Endpoints that are missing in the list are handled as in
+    /// [`Members::remove`].
     pub fn replace(
         &mut self,
         list: Vec<(Endpoint, StorePoint)>,
@@ -160,18 +164,18 @@
         }
     }
 
-    /// Forgets the endpoints whose time has run out; says whether there were any.
+    /// Removes the endpoints whose grace period is over. Returns whether there were any.
     pub fn expire(&mut self, now: Instant) -> bool {
-        let is_over = |m: &Member| m.lapses_at.is_some_and(|at| at <= now);
+        let is_over = |m: &Member| m.expires_at.is_some_and(|at| at <= now);
         let over = self.listed.iter().filter(|(_, m)| is_over(m));
         let over: Vec<_> = over.map(|(id, _)| id.clone()).collect();
         over.iter().for_each(|id| self.end(id));
         !over.is_empty()
     }
 
-    /// When [`Members::expire`] will next forget an endpoint.
+    /// When [`Members::expire`] will next remove an endpoint.
     pub fn next_expiry(&self) -> Option<Instant> {
-        self.listed.values().filter_map(|m| m.lapses_at).min()
+        self.listed.values().filter_map(|m| m.expires_at).min()
     }
 
     fn end(&mut self, id: &Incarnation) {
@@ -181,12 +185,12 @@
             let first = first.map(|(id, _)| id.clone());
             first.and_then(|id| self.ended.remove(&id));
         }
-        self.ends += 1;
-        let ended = Ended { start: member.endpoint.start, number: self.ends };
+        self.ended_count += 1;
+        let ended = EndedRun { start: member.endpoint.start, number: self.ended_count };
         self.ended.insert(id.clone(), ended);
     }
 
-    /// Returns all endpoints that are not known to be gone.
+    /// Returns all endpoints that are listed or in their grace period.
     pub fn endpoints(&self) -> impl Iterator<Item = &Arc<Endpoint>> {
         self.listed.values().map(|m| &m.endpoint)
     }
--- a/crates/larkspring-core/src/fleet/permits.rs
+++ b/crates/larkspring-core/src/fleet/permits.rs
@@ -1,13 +1,15 @@
-//! Permits to send to endpoints that take a limited rate from all VMs together.
+//! Permits to send to endpoints that limit their request rate over all VMs.
 //!
-//! An entry asks the home of a run for a permit for each request that it sends there. The
-//! home is one process, so its bucket counts for all entries: that of an engine is the agent
-//! beside it, that of a plain service the agent that ranks first for the run. While the home
-//! does not answer, the process that ranks second gives a part of the rate.
+//! An entry requests a permit from the run's permit issuer for each request that it sends
+//! there. The issuer is a single process, so that its token bucket counts for all
+//! entries: for an engine the agent beside the engine, for a plain service the agent that
+//! ranks first for the run. While the primary issuer does not answer, the agent that
+//! ranks second issues permits for a part of the rate.
 //!
-//! The bound. In no span of `w` seconds may more than `1.5 r w + 5` requests reach a run that
-//! names `r`. What reaches it in `w` was granted within `w` and [`UNUSED`]; with `w` of 4 s
-//! that is `4.4 r + 2` by the home and `1.3 r + 1` by the second: below the bound for each `r`.
+//! Bound: in no interval of `w` seconds may more than `1.5 r w + 5` requests reach a run
+//! that advertises the rate `r`. Requests that arrive within `w` were granted within `w`
+//! plus [`UNUSED`]. For `w` of 4 s these are `4.4 r + 2` by the primary and `1.3 r + 1`
+//! by the secondary issuer, which is below the bound for each `r`.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -16,43 +18,43 @@
 
 use super::rate::Rate;
 
-/// Stands for a run of an endpoint between entries and homes.
+/// Hash of a run's name, used between entries and permit issuers.
 pub type RunHash = u64;
 
-/// What an entry wants to send to.
+/// An entry's request for a permit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Ask {
     /// The run.
     pub run: RunHash,
-    /// The rate that holds for it, as the entry heard.
+    /// The advertised rate, as the entry knows it.
     pub rate: Rate,
-    /// How long ago the entry was told.
+    /// Age of the rate: the time since the entry received it.
     pub age: Duration,
-    /// As what it asks.
+    /// The issuer that the request is addressed to.
     pub home: Home,
 }
 
-/// Who grants.
+/// The issuers of permits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Home {
-    /// The home, which gives the whole rate.
+    /// The primary issuer, which grants the whole rate.
     First,
-    /// The process that is asked while the home does not answer.
+    /// The secondary issuer, used while the primary issuer does not answer.
     Second,
-    /// The entry itself, which hears no agent at all.
+    /// The entry itself, when it reaches no agent.
     Alone,
 }
 
-/// What an entry may do.
+/// The answer to a request for a permit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// Send one request, within [`UNUSED`].
+    /// One request may be sent, within [`UNUSED`].
     Granted,
-    /// Send none before this time has passed.
+    /// No request may be sent before this time has passed.
     Denied(Duration),
 }
 
-/// What a process has granted, by run.
+/// The token buckets of one issuer, by run.
 #[derive(Debug, Default)]
 pub struct Permits {
     buckets: HashMap<RunHash, Bucket>,
@@ -61,91 +63,99 @@
 #[derive(Debug)]
 struct Bucket {
     rate: Rate,
-    /// When the rate was told by an answer of the run.
-    told: Instant,
+    /// When an answer of the run advertised the rate.
+    advertised_at: Instant,
     permits: f64,
-    filled: Instant,
+    refilled_at: Instant,
 }
 
-/// How long a permit holds: a few times what a connection takes to come up. What is not
-/// used by then must not come on top of what is granted later.
+/// How long a permit is valid: a few times the duration of a connection set-up. Unused
+/// permits expire so that they are not spent on top of later ones.
 pub const UNUSED: Duration = Duration::from_millis(250);
-/// Time for a home to answer: a few times the way between halls and a turn of a busy
-/// process.
+/// Time for an issuer to answer: a few times the round trip between halls plus the
+/// scheduling delay of a busy process.
 pub const ANSWER: Duration = Duration::from_millis(80);
-/// Permits that the home, and any other process, may save up, so that an endpoint gets its
-/// rate although requests don't come evenly.
-const SAVED: f64 = 2.0;
-const SAVED_ELSEWHERE: f64 = 1.0;
-/// Part of the rate that the second process gives.
-const SECOND_PART: f64 = 0.3;
-/// Part of the rate that an entry gives itself: it does not know how many others there are.
-const ALONE_PART: f64 = 1.0 / 64.0;
-/// The least rate that the home gives, in requests a second: an endpoint that takes next to
-/// nothing is asked now and then, or nobody would learn that it takes more again.
-const PROBED: f64 = 0.25;
-/// Longest time for which an entry is denied: rates rise, and homes come back.
-const DENIED_MOST: Duration = Duration::from_secs(2);
-/// Runs that are remembered, and how long one that nobody asks for is.
+/// Bucket sizes of the primary issuer and of the others, so that an endpoint is used at
+/// its full rate although requests arrive unevenly.
+const PRIMARY_BUCKET_SIZE: f64 = 2.0;
+const OTHER_BUCKET_SIZE: f64 = 1.0;
+/// Part of the rate that the secondary issuer grants.
+const SECONDARY_RATE_FRACTION: f64 = 0.3;
+/// Part of the rate that an entry grants itself, as it does not know the number of other
+/// entries.
+const SELF_ISSUED_RATE_FRACTION: f64 = 1.0 / 64.0;
+/// Lowest rate that the primary issuer grants, in requests a second. An endpoint that
+/// advertises nearly zero still gets occasional requests, or a raised rate would go
+/// unnoticed.
+const MIN_PRIMARY_RATE_PER_SEC: f64 = 0.25;
+/// Longest denial: the rate may rise, or an issuer may recover.
+const MAX_DENIAL: Duration = Duration::from_secs(2);
+/// Maximum number of runs that are kept, and the idle time after which a run is dropped.
 const MAX_RUNS: usize = 16 * 1024;
-const FORGOTTEN: Duration = Duration::from_secs(30);
+const RUN_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Returns what stands for a run.
+/// Returns the hash of a run's name.
 pub fn run_hash(run: &str) -> RunHash {
     xxh3_64(run.as_bytes())
 }
 
 impl Permits {
-    /// Answers an entry.
+    /// Answers a request for a permit.
     pub fn ask(&mut self, now: Instant, ask: &Ask) -> Verdict {
         self.told(now, ask.run, ask.rate, ask.age);
         let Some(bucket) = self.buckets.get_mut(&ask.run) else {
-            return Verdict::Denied(DENIED_MOST);
+            return Verdict::Denied(MAX_DENIAL);
         };
         bucket.take(now, ask.home)
     }
 
-    /// Takes in the rate that holds for a run, told `age` ago. The latest word holds; one
-    /// that lowers the rate also does if it is a little older, as clocks and ways differ.
+    /// Applies the rate of a run, received `age` ago. The latest rate applies; a lower
+    /// rate also applies if it is slightly older, to allow for clock and transmission
+    /// differences.
     pub fn told(&mut self, now: Instant, run: RunHash, rate: Rate, age: Duration) {
         if self.buckets.len() >= MAX_RUNS {
-            let since = |b: &Bucket| now.saturating_duration_since(b.filled);
-            self.buckets.retain(|_, bucket| since(bucket) < FORGOTTEN);
+            let since = |b: &Bucket| now.saturating_duration_since(b.refilled_at);
+            self.buckets.retain(|_, bucket| since(bucket) < RUN_IDLE_TIMEOUT);
         }
-        let told = now.checked_sub(age).unwrap_or(now);
+        let advertised_at = now.checked_sub(age).unwrap_or(now);
         let bucket = self.buckets.entry(run).or_insert(Bucket {
             rate,
-            told,
-            // What another process granted a moment ago is not known here.
+            advertised_at,
+            // Starts empty, as recent grants of another issuer are not known here.
             permits: 0.0,
-            filled: now,
+            refilled_at: now,
         });
-        let newer = told > bucket.told;
-        let lower = rate < bucket.rate && told + ANSWER > bucket.told;
+        let newer = advertised_at > bucket.advertised_at;
+        let lower = rate < bucket.rate && advertised_at + ANSWER > bucket.advertised_at;
         if newer || lower {
             bucket.rate = rate;
-            bucket.told = told.max(bucket.told);
+            bucket.advertised_at = advertised_at.max(bucket.advertised_at);
         }
     }
 }
 
 impl Bucket {
     fn take(&mut self, now: Instant, home: Home) -> Verdict {
-        let named = self.rate.as_per_sec();
-        let (per_sec, most) = match home {
-            Home::First => (named.max(PROBED), SAVED),
-            Home::Second => (named * SECOND_PART, SAVED_ELSEWHERE),
-            Home::Alone => (named.max(PROBED) * ALONE_PART, SAVED_ELSEWHERE),
+        let advertised = self.rate.as_per_sec();
+        let (per_sec, bucket_size) = match home {
+            Home::First => {
+                (advertised.max(MIN_PRIMARY_RATE_PER_SEC), PRIMARY_BUCKET_SIZE)
+            }
+            Home::Second => (advertised * SECONDARY_RATE_FRACTION, OTHER_BUCKET_SIZE),
+            Home::Alone => (
+                advertised.max(MIN_PRIMARY_RATE_PER_SEC) * SELF_ISSUED_RATE_FRACTION,
+                OTHER_BUCKET_SIZE,
+            ),
         };
-        let since = now.saturating_duration_since(self.filled).as_secs_f64();
-        self.permits = (self.permits + since * per_sec).min(most);
-        self.filled = now;
+        let since = now.saturating_duration_since(self.refilled_at).as_secs_f64();
+        self.permits = (self.permits + since * per_sec).min(bucket_size);
+        self.refilled_at = now;
         if self.permits >= 1.0 {
             self.permits -= 1.0;
             return Verdict::Granted;
         }
         let wait = (1.0 - self.permits) / per_sec;
-        let wait = Duration::try_from_secs_f64(wait).unwrap_or(DENIED_MOST);
-        Verdict::Denied(wait.min(DENIED_MOST))
+        let wait = Duration::try_from_secs_f64(wait).unwrap_or(MAX_DENIAL);
+        Verdict::Denied(wait.min(MAX_DENIAL))
     }
 }
--- a/crates/larkspring-core/src/slots/fresh.rs
+++ b/crates/larkspring-core/src/slots/fresh.rs
@@ -1,5 +1,5 @@
-//! Engines that are asked from their own VM: their reports are fresh, and they hold one
-//! version of an adapter at a time.
+//! Engines whose agent runs on the same VM: their reports are up to date, and they hold
+//! one version of an adapter at a time.
 
 use std::time::Instant;
 
@@ -8,10 +8,11 @@
 use crate::ids::{AttemptId, Incarnation, Target};
 
 impl Slots {
-    /// Records a report that is not older than the last order's answer.
+    /// Records a report that is not older than the answer to the last order.
     ///
-    /// `is_ordered` tells of the loads and unloads that the engine was not yet asked for.
-    /// Returns the loads that failed: ordered, and neither held nor on their way.
+    /// `is_ordered` returns whether the engine has been asked for a load or unload.
+    /// Returns the loads that failed: those that were ordered and are neither resident
+    /// nor pending.
     pub fn engine_is_now(
         &mut self,
         now: Instant,
@@ -20,26 +21,26 @@
         pending: &[Target],
         is_ordered: impl Fn(&Target) -> bool,
     ) -> Vec<Target> {
-        self.is_run(run);
+        self.set_run(run);
         self.reachable = true;
         self.loads_paused = false;
-        self.settled_at.get_or_insert(now);
+        self.unloads_allowed_at.get_or_insert(now);
         let mut failed = Vec::new();
-        let mut gone = Vec::new();
+        let mut removed = Vec::new();
         for (target, adapter) in &mut self.adapters {
             let held = holds.contains(target);
-            let coming = pending.contains(target);
+            let loading = pending.contains(target);
             match adapter.phase {
-                Phase::Loading { .. } if held || coming || !is_ordered(target) => {}
+                Phase::Loading { .. } if held || loading || !is_ordered(target) => {}
                 Phase::Loading { .. } => failed.push(target.clone()),
                 Phase::Resident | Phase::Retiring if held => {}
                 Phase::Unloading if held => {}
-                _ => gone.push(target.clone()),
+                _ => removed.push(target.clone()),
             }
         }
-        for target in &gone {
+        for target in &removed {
             if let Some(adapter) = self.adapters.remove(target) {
-                self.remember(now, target, adapter.heat);
+                self.keep_uses(now, target, adapter.uses);
                 self.copies.leave(target.hash());
             }
         }
@@ -47,21 +48,22 @@
             self.loaded(now, target, false);
         }
         for target in holds {
-            let fresh = || Residency::new(now, Phase::Resident);
-            self.adapters.entry(target.clone()).or_insert_with(fresh);
+            let new = || Residency::new(now, Phase::Resident);
+            self.adapters.entry(target.clone()).or_insert_with(new);
             self.loaded(now, target, true);
         }
         for target in pending {
-            let coming = || Residency::new(now, Phase::Loading { since: now });
-            self.adapters.entry(target.clone()).or_insert_with(coming);
+            let new = || Residency::new(now, Phase::Loading { since: now });
+            self.adapters.entry(target.clone()).or_insert_with(new);
         }
         failed
     }
 
     /// Records that an order for a load was answered, or that its answer is lost.
     ///
-    /// The load is timed from here: what it waited for its order says nothing of the weight
-    /// store, and taken for a full one it would hold back the loads after it.
+    /// The duration of the load is counted from here. The wait for the order is not
+    /// caused by the weight store; if included, the store would look overloaded and later
+    /// loads would be held back.
     pub fn load_ordered(&mut self, now: Instant, target: &Target) {
         let Some(adapter) = self.adapters.get_mut(target) else { return };
         if adapter.is_loading() {
@@ -69,8 +71,8 @@
         }
     }
 
-    /// Records a request that runs already and uses an adapter, as after this agent's
-    /// restart; false if the engine does not hold the adapter.
+    /// Records a request that is already running and uses an adapter, as after a restart
+    /// of this agent. Returns false if the engine does not hold the adapter.
     pub fn adopt(&mut self, now: Instant, id: AttemptId, target: &Target) -> bool {
         let Some(adapter) = self.adapters.get_mut(target) else { return false };
         adapter.pins += 1;
@@ -81,15 +83,16 @@
         true
     }
 
-    /// Records that the engine holds no base model yet: requests wait, nothing is loaded.
+    /// Records that the engine is still loading its base model: requests wait and no
+    /// adapters are loaded.
     pub fn engine_fills(&mut self, run: &Incarnation) {
-        self.is_run(run);
+        self.set_run(run);
         self.reachable = true;
         self.loads_paused = true;
     }
 
-    /// Forgets what an earlier run held.
-    fn is_run(&mut self, run: &Incarnation) {
+    /// Sets the run of the engine; the adapters of an earlier run are dropped.
+    fn set_run(&mut self, run: &Incarnation) {
         if self.incarnation.as_ref() != Some(run) {
             self.adapters.clear();
             self.copies.clear();
@@ -97,35 +100,35 @@
         }
     }
 
-    /// Sets how many adapters the engine may hold.
+    /// Sets the number of adapter slots.
     pub fn set_places(&mut self, places: usize) {
         self.limits.slots = places;
     }
 
-    /// Adapters that could be taken in without waiting for a request to end, beyond those
-    /// that are waited for.
+    /// Adapters that could be loaded without waiting for a request to end, in addition to
+    /// those that requests wait for.
     pub fn free_places(&self) -> usize {
-        let idle = |a: &&Residency| a.pins + a.foreign == 0 && !a.is_loading();
+        let idle = |a: &&Residency| a.pins + a.other_requests == 0 && !a.is_loading();
         let idle = self.adapters.values().filter(idle).count();
         let empty = self.limits.slots.saturating_sub(self.adapters.len());
-        (empty + idle).saturating_sub(self.cold_ahead() as usize)
+        (empty + idle).saturating_sub(self.missing_adapters() as usize)
     }
 
-    /// Loads that are waited for and not ordered yet.
+    /// Loads that requests wait for and that are not ordered yet.
     pub fn loads_ahead(&self) -> usize {
-        self.cold_ahead() as usize
+        self.missing_adapters() as usize
     }
 
-    /// Adapters that are ready, and those on their way.
+    /// The resident adapters, and those being loaded.
     pub fn held(&self) -> (Vec<&Target>, Vec<&Target>) {
-        let ready = self.adapters.iter().filter(|(_, a)| a.phase == Phase::Resident);
-        let coming = self.adapters.iter().filter(|(_, a)| a.is_loading());
-        (ready.map(|(t, _)| t).collect(), coming.map(|(t, _)| t).collect())
+        let resident = self.adapters.iter().filter(|(_, a)| a.phase == Phase::Resident);
+        let loading = self.adapters.iter().filter(|(_, a)| a.is_loading());
+        (resident.map(|(t, _)| t).collect(), loading.map(|(t, _)| t).collect())
     }
 
-    /// Whether another version of the same adapter is in the way of `target`; it is
-    /// unloaded, or kept from new requests until it can be.
-    pub(super) fn other_version(
+    /// Returns whether another version of the same adapter blocks `target`. That version
+    /// is unloaded, or gets no new requests until it can be.
+    pub(super) fn evict_other_version(
         &mut self,
         target: &Target,
         actions: &mut Vec<Action>,
@@ -134,7 +137,9 @@
             self.adapters.iter_mut().filter(|(t, _)| t.adapter == target.adapter);
         let Some((other, adapter)) = others.next() else { return false };
         match adapter.phase {
-            Phase::Resident | Phase::Retiring if adapter.pins + adapter.foreign == 0 => {
+            Phase::Resident | Phase::Retiring
+                if adapter.pins + adapter.other_requests == 0 =>
+            {
                 adapter.phase = Phase::Unloading;
                 actions.push(Action::Unload(other.clone()));
             }
--- a/crates/larkspring-core/src/slots/order.rs
+++ b/crates/larkspring-core/src/slots/order.rs
@@ -1,4 +1,4 @@
-//! In which order adapters are loaded.
+//! The order in which adapters are loaded.
 
 use std::cmp::Ordering;
 use std::collections::HashMap;
@@ -8,52 +8,56 @@
 use crate::fleet::worth;
 use crate::ids::{AttemptId, Target};
 
-/// What waits for one adapter.
-struct Wanted {
-    /// Sum of what its answers would be worth.
-    worth: f64,
-    /// When the first of its requests begins late.
-    due: Instant,
-    /// The earliest of its requests.
+/// The requests that wait for one adapter, combined.
+struct LoadCandidate {
+    /// Total utility of the answers.
+    utility: f64,
+    /// The earliest soft deadline.
+    soft_deadline: Instant,
+    /// The earliest request.
     first: AttemptId,
 }
 
-/// The shortest time in which an adapter is ready, if it comes from the memory of the
-/// engine's VM or a fetch is nearly done; what is due sooner is late in any case. A fetch
-/// takes 250 ms and more, but a request may be late by a little and still be worth most.
-const LEAST_LOAD: Duration = Duration::from_millis(100);
+/// Shortest time until an adapter is ready, from the memory of the engine's VM or with a
+/// nearly finished fetch. Requests with an earlier soft deadline are late in any case. A
+/// fetch takes 250 ms or more, but a slightly late answer may still have the highest
+/// utility.
+const MIN_LOAD_TIME: Duration = Duration::from_millis(100);
 
 impl Slots {
-    /// Returns one waiting request for each adapter, the one first whose load makes the
-    /// most answers worth the most.
+    /// Returns one waiting request for each adapter, starting with the adapter whose load
+    /// gives the highest total utility.
     ///
-    /// An answer that is late whatever is done has time until its caller gives up, so it
-    /// lets those pass that can still be in time. Where all loads take the place of another
-    /// (a full engine, a busy weight store), this is what makes some answers in time rather
-    /// than all of them late.
-    pub(super) fn by_worth(&self, now: Instant) -> Vec<AttemptId> {
-        let mut wanted: HashMap<&Target, Wanted> = HashMap::new();
+    /// An answer that can no longer be in time is not urgent before its caller's
+    /// deadline, so answers that can still be in time go first. Where each load displaces
+    /// another (all slots in use, weight store busy), this keeps some answers in time
+    /// instead of making all of them late.
+    pub(super) fn by_utility(&self, now: Instant) -> Vec<AttemptId> {
+        let mut candidates: HashMap<&Target, LoadCandidate> = HashMap::new();
         for (id, req) in &self.waiting {
-            let fresh = || Wanted { worth: 0.0, due: req.due, first: *id };
-            let adapter = wanted.entry(&req.target).or_insert_with(fresh);
-            adapter.worth += worth_now(req, now);
-            adapter.due = adapter.due.min(req.due);
+            let new =
+                || LoadCandidate { utility: 0.0, soft_deadline: req.due, first: *id };
+            let adapter = candidates.entry(&req.target).or_insert_with(new);
+            adapter.utility += utility_at(req, now);
+            adapter.soft_deadline = adapter.soft_deadline.min(req.due);
             adapter.first = adapter.first.min(*id);
         }
-        let mut order: Vec<_> = wanted.into_values().collect();
-        order.sort_by(Wanted::compare);
-        order.into_iter().map(|wanted| wanted.first).collect()
+        let mut order: Vec<_> = candidates.into_values().collect();
+        order.sort_by(LoadCandidate::compare);
+        order.into_iter().map(|candidate| candidate.first).collect()
     }
 }
 
-impl Wanted {
+impl LoadCandidate {
     fn compare(&self, other: &Self) -> Ordering {
-        let worth = other.worth.total_cmp(&self.worth);
-        worth.then(self.due.cmp(&other.due)).then(self.first.cmp(&other.first))
+        let by_utility = other.utility.total_cmp(&self.utility);
+        by_utility
+            .then(self.soft_deadline.cmp(&other.soft_deadline))
+            .then(self.first.cmp(&other.first))
     }
 }
 
-fn worth_now(req: &Waiting, now: Instant) -> f64 {
-    let in_time = now + LEAST_LOAD <= req.due;
+fn utility_at(req: &Waiting, now: Instant) -> f64 {
+    let in_time = now + MIN_LOAD_TIME <= req.due;
     req.worth * if in_time { 1.0 } else { worth::LATE }
 }
--- a/crates/larkspring-core/tests/fleet_attempt.rs
+++ b/crates/larkspring-core/tests/fleet_attempt.rs
@@ -1,4 +1,4 @@
-//! What may follow each way an attempt can end.
+//! Tests of the next step for each end of an attempt.
 
 use larkspring_core::fleet::attempt::{next, AttemptEnd, History, Next, MAX_ATTEMPTS};
 use larkspring_core::fleet::routes::RouteClass;
@@ -38,7 +38,7 @@
 const RESUMABLE: RouteClass = RouteClass::Stream { resumable: true };
 
 #[test]
-fn each_end_has_its_next_step() {
+fn each_attempt_end_has_its_next_step() {
     let cases = [
         ("once, nothing sent", ONCE, AttemptEnd::Unsent, FIRST, 1, true, Next::Elsewhere),
         (
@@ -164,10 +164,11 @@
     }
 }
 
-/// Over all combinations: what may have run is never sent again unless it may run again,
-/// never called "not run", and nothing goes on for ever.
+/// Guards, over all combinations, against retrying a request that may have run and must
+/// not run twice, against answering "not run" for a request that may have run, and
+/// against endless retries.
 #[test]
-fn no_combination_breaks_a_promise() {
+fn every_combination_keeps_the_retry_rules() {
     for class in CLASSES {
         for end in ENDS {
             for ran in [false, true] {
--- a/crates/larkspring-core/tests/repeats.rs
+++ b/crates/larkspring-core/tests/repeats.rs
@@ -1,4 +1,4 @@
-//! The shared budget of repeats, in every window.
+//! Tests of the shared retry budget in every window.
 
 use std::time::{Duration, Instant};
 
@@ -8,10 +8,11 @@
 const TERMS: RepeatTerms =
     RepeatTerms { ratio: 0.2, extra: 52.0, window: Duration::from_secs(10) };
 
-/// Random traffic of several entries: in no window do the repeats of all together exceed
-/// the ratio of the requests plus the fixed part.
+/// Guards against retries that amplify an overload: with random traffic of several
+/// entries, the retries of all entries in each window stay within the ratio of the
+/// requests plus the fixed part.
 #[test]
-fn all_entries_together_keep_the_budget() {
+fn entries_together_keep_the_retry_budget() {
     for seed in 0..20 {
         let mut rng = Rng::with_seed(seed);
         let entries = rng.usize(1..6);
@@ -21,7 +22,7 @@
         let (mut requests, mut repeats) = (Vec::new(), Vec::new());
         let mut ms = 0;
         while ms < 40_000 {
-            // Bursts and lulls.
+            // Bursts and pauses.
             ms += if rng.u32(..100) < 2 { rng.u64(500..4000) } else { rng.u64(0..12) };
             let now = start + Duration::from_millis(ms);
             let window = &mut windows[rng.usize(..entries)];
@@ -44,7 +45,7 @@
 }
 
 #[test]
-fn without_requests_only_the_share_of_the_fixed_part_is_left() {
+fn without_requests_only_the_fixed_share_is_allowed() {
     let now = Instant::now();
     let mut alone = RepeatWindow::new(TERMS);
     let taken = (0..100).filter(|_| alone.repeat(now, 1)).count();
