--- a/crates/larkspring/src/direct/entry/admit.rs
+++ b/crates/larkspring/src/direct/entry/admit.rs
@@ -23,7 +23,7 @@
 }
 
 /// Fraction of the retry time over which the retries of refused callers are spread.
-const SPREAD: f64 = 0.5;
+const RETRY_SPREAD: f64 = 0.5;
 
 impl Inner {
     /// Returns the workspace of a caller's key; `None` if the route needs no key and the
@@ -49,11 +49,13 @@
             return Ok(found);
         }
         if !self.trusts_keys() {
-            return Err(Reason::OldKeys);
+            return Err(Reason::StaleKeys);
         }
         match (found, credential) {
             (Some(workspace), _) => Ok(Some(workspace)),
-            (None, Credential::Key(_)) if !self.trusts_absence() => Err(Reason::OldKeys),
+            (None, Credential::Key(_)) if !self.trusts_absence() => {
+                Err(Reason::StaleKeys)
+            }
             (None, Credential::Key(_)) => Err(Reason::UnknownKey),
             (None, _) => Err(Reason::NoKey),
         }
@@ -71,7 +73,7 @@
     pub(super) fn no_route(&self) -> Reason {
         match self.trusts_absence() {
             true => Reason::NoRoute,
-            false => Reason::OldRouting,
+            false => Reason::StaleRouting,
         }
     }
 
@@ -94,7 +96,7 @@
         match self.limits.admit(workspace, routing.version, cost).await {
             Verdict::Refused(after) => {
                 self.stats.workspace(&workspace.name, "refused");
-                let after = after.mul_f64(1.0 + SPREAD * fastrand::f64());
+                let after = after.mul_f64(1.0 + RETRY_SPREAD * fastrand::f64());
                 if logs::allows(Line::Limit) {
                     tracing::info!(
                         event = "over limit",
--- a/crates/larkspring/src/direct/entry/answer.rs
+++ b/crates/larkspring/src/direct/entry/answer.rs
@@ -12,14 +12,14 @@
 use serde_json::json;
 
 use super::relay::Relay;
-use super::serve::Done;
+use super::serve::ExchangeGuard;
 use super::Inner;
 
 /// The body of an answer to a caller.
 pub(super) struct AnswerBody {
     kind: BodyKind,
     /// Marks the caller's connection as idle when dropped.
-    _done: Option<Done>,
+    _done: Option<ExchangeGuard>,
 }
 
 enum BodyKind {
@@ -32,11 +32,11 @@
     #[derive(Debug)]
     pub enum RelayError {
         /// The endpoint's answer was interrupted.
-        Broken(cause: String) {
+        Interrupted(cause: String) {
             display("the endpoint's answer was interrupted: {cause}")
         }
         /// The request's deadline passed.
-        Late { display("the request's deadline passed") }
+        TimedOut { display("the request's deadline passed") }
     }
 }
 
@@ -46,23 +46,23 @@
     BadRequest,
     NoKey,
     UnknownKey,
-    OldKeys,
+    StaleKeys,
     OverLimit,
     NoRoute,
-    OldRouting,
+    StaleRouting,
     BodyTooLarge,
-    EndsEndpoints,
+    CrashesEndpoints,
     Stopping,
     NoRouting,
     NoEndpoint,
-    Resting,
-    UsedUp,
+    InBackoff,
+    RateUsedUp,
     NoAdapterInTime,
     Rejected,
-    Unsent,
+    NotReached,
     Unclear,
-    LateNotRun,
-    LateUnclear,
+    TimedOutNotRun,
+    TimedOutUnclear,
 }
 
 impl Reason {
@@ -72,23 +72,23 @@
             Self::BadRequest => "bad request",
             Self::NoKey => "no key",
             Self::UnknownKey => "unknown key",
-            Self::OldKeys => "the view of the keys is too old",
+            Self::StaleKeys => "the view of the keys is too old",
             Self::OverLimit => "over the workspace's limit",
             Self::NoRoute => "no route",
-            Self::OldRouting => "no route, and the routing may be out of date",
+            Self::StaleRouting => "no route, and the routing may be out of date",
             Self::BodyTooLarge => "body too large",
-            Self::EndsEndpoints => "endpoints ended each time it ran",
+            Self::CrashesEndpoints => "endpoints ended each time it ran",
             Self::Stopping => "the entry stops",
             Self::NoRouting => "routing not known yet",
             Self::NoEndpoint => "no endpoint",
-            Self::Resting => "no endpoint wants requests now",
-            Self::UsedUp => "the rate that endpoints take is used up",
+            Self::InBackoff => "no endpoint wants requests now",
+            Self::RateUsedUp => "the rate that endpoints take is used up",
             Self::NoAdapterInTime => "adapter not ready in time",
             Self::Rejected => "rejected by the endpoint",
-            Self::Unsent => "endpoint not reached",
+            Self::NotReached => "endpoint not reached",
             Self::Unclear => "no answer from the endpoint",
-            Self::LateNotRun => "out of time before it was sent",
-            Self::LateUnclear => "out of time at the endpoint",
+            Self::TimedOutNotRun => "out of time before it was sent",
+            Self::TimedOutUnclear => "out of time at the endpoint",
         }
     }
 
@@ -104,61 +104,61 @@
             Self::OverLimit => StatusCode::TOO_MANY_REQUESTS,
             Self::NoRoute => StatusCode::NOT_FOUND,
             Self::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-            Self::EndsEndpoints => StatusCode::UNPROCESSABLE_ENTITY,
-            Self::OldKeys
-            | Self::OldRouting
+            Self::CrashesEndpoints => StatusCode::UNPROCESSABLE_ENTITY,
+            Self::StaleKeys
+            | Self::StaleRouting
             | Self::Stopping
             | Self::NoRouting
             | Self::NoEndpoint
-            | Self::Resting
-            | Self::UsedUp
+            | Self::InBackoff
+            | Self::RateUsedUp
             | Self::NoAdapterInTime
             | Self::Rejected
-            | Self::Unsent
-            | Self::LateNotRun => StatusCode::SERVICE_UNAVAILABLE,
+            | Self::NotReached
+            | Self::TimedOutNotRun => StatusCode::SERVICE_UNAVAILABLE,
             Self::Unclear => StatusCode::BAD_GATEWAY,
-            Self::LateUnclear => StatusCode::GATEWAY_TIMEOUT,
+            Self::TimedOutUnclear => StatusCode::GATEWAY_TIMEOUT,
         }
     }
 }
 
 /// Retry time when the entry is stopping: at once, on a connection to another entry.
-const COME_BACK_ELSEWHERE: Duration = Duration::from_millis(50);
+const RETRY_ELSEWHERE: Duration = Duration::from_millis(50);
 /// Retry time while the entry does not know the routing yet, or all engines are loading
 /// their base models: a base model takes half a second and the adapters more. A caller
 /// retries only once or twice, so too early is worse than too late.
-const COME_BACK_FILLED: Duration = Duration::from_millis(1000);
+const RETRY_AFTER_LOADING: Duration = Duration::from_millis(1000);
 /// Retry time after other refusals: an endpoint usually frees a slot within this time.
-const COME_BACK_SOON: Duration = Duration::from_millis(250);
+const RETRY_SOON: Duration = Duration::from_millis(250);
 /// Fraction of the retry time over which the retries of refused callers are spread.
-const SPREAD: f64 = 0.3;
+const RETRY_SPREAD: f64 = 0.3;
 
 impl Reason {
     /// Returns whether the answer guarantees that the request has not run.
     pub fn says_not_run(self) -> bool {
-        !matches!(self, Self::Unclear | Self::LateUnclear)
+        !matches!(self, Self::Unclear | Self::TimedOutUnclear)
     }
 
     /// Returns when a caller should retry. `None` if a retry would get the same answer,
     /// or if the retry time comes from the limits or the endpoints.
     pub fn come_back(self, needs_adapter: bool) -> Option<Duration> {
         let after = match self {
-            Self::Stopping | Self::OldKeys => COME_BACK_ELSEWHERE,
-            Self::NoRouting => COME_BACK_FILLED,
-            Self::NoEndpoint if needs_adapter => COME_BACK_FILLED,
+            Self::Stopping | Self::StaleKeys => RETRY_ELSEWHERE,
+            Self::NoRouting => RETRY_AFTER_LOADING,
+            Self::NoEndpoint if needs_adapter => RETRY_AFTER_LOADING,
             Self::NoEndpoint
-            | Self::OldRouting
+            | Self::StaleRouting
             | Self::NoAdapterInTime
             | Self::Rejected
-            | Self::Unsent
-            | Self::LateNotRun => COME_BACK_SOON,
+            | Self::NotReached
+            | Self::TimedOutNotRun => RETRY_SOON,
             // The retry time comes from the limits and the endpoints.
-            Self::OverLimit | Self::Resting | Self::UsedUp => return None,
+            Self::OverLimit | Self::InBackoff | Self::RateUsedUp => return None,
             Self::BadRequest | Self::NoRoute | Self::BodyTooLarge => return None,
-            Self::NoKey | Self::UnknownKey | Self::EndsEndpoints => return None,
-            Self::Unclear | Self::LateUnclear => return None,
+            Self::NoKey | Self::UnknownKey | Self::CrashesEndpoints => return None,
+            Self::Unclear | Self::TimedOutUnclear => return None,
         };
-        let spread = 1.0 + SPREAD * (2.0 * fastrand::f64() - 1.0);
+        let spread = 1.0 + RETRY_SPREAD * (2.0 * fastrand::f64() - 1.0);
         Some(after.mul_f64(spread))
     }
 }
@@ -166,17 +166,17 @@
 /// Returns the retry time for an endpoint whose backoff ends after `rest`: not before
 /// that, and spread over some time after it.
 pub(super) fn after_rest(rest: Duration) -> Duration {
-    rest.mul_f64(1.0 + SPREAD * fastrand::f64())
+    rest.mul_f64(1.0 + RETRY_SPREAD * fastrand::f64())
 }
 
 impl AnswerBody {
     /// Creates a body from bytes in memory.
-    pub fn whole(bytes: Bytes, done: Option<Done>) -> Self {
+    pub fn whole(bytes: Bytes, done: Option<ExchangeGuard>) -> Self {
         Self { kind: BodyKind::Whole(Some(bytes)), _done: done }
     }
 
     /// Creates a body that relays an endpoint's answer.
-    pub fn relay(relay: Relay, done: Option<Done>) -> Self {
+    pub fn relay(relay: Relay, done: Option<ExchangeGuard>) -> Self {
         Self { kind: BodyKind::Relay(Box::new(relay)), _done: done }
     }
 }
@@ -223,7 +223,7 @@
     reason: Reason,
     id: &str,
     retry_after: Option<Duration>,
-    done: Option<Done>,
+    done: Option<ExchangeGuard>,
 ) -> Response<AnswerBody> {
     let ran = if reason.says_not_run() { "not-run" } else { "unknown" };
     let body = json!({ "error": { "message": reason.name(), "outcome": ran } });
@@ -239,7 +239,7 @@
         }
     }
     match reason {
-        Reason::OldKeys | Reason::OldRouting => close(&mut res),
+        Reason::StaleKeys | Reason::StaleRouting => close(&mut res),
         _ => close_if_leaving(entry, &mut res),
     }
     res
--- a/crates/larkspring/src/direct/entry/attempt.rs
+++ b/crates/larkspring/src/direct/entry/attempt.rs
@@ -18,23 +18,23 @@
 
 use super::job::Job;
 use super::link::Hold;
-use super::peer::{Open, Peer};
+use super::peer::{OpenRequest, Peer};
 use super::permits::Permit;
-use super::view::Why;
+use super::view::SelectionInputs;
 use crate::direct::conn::{Conn, SendBody, SendError};
 use crate::direct::edge::{Echo, Forward, Identity};
 use crate::direct::logs::{self, Line};
 
 /// The endpoint selected for a request, with the resources reserved there.
-pub(super) struct Placed {
+pub(super) struct Selection {
     /// The endpoint; counts the request as open there.
-    pub open: Open,
+    pub open: OpenRequest,
     /// The adapter and version on which the request has to run.
     pub target: Option<Target>,
     /// When the endpoint was chosen, just before the request is sent.
     pub began: Instant,
     /// The inputs of the selection.
-    pub why: Why,
+    pub why: SelectionInputs,
     /// The permit to send the request, if the endpoint is rate-limited.
     pub permit: Option<Permit>,
     /// Keeps the adapter loaded until dropped.
@@ -42,17 +42,17 @@
 }
 
 /// The result of an attempt.
-pub(super) enum Ended {
+pub(super) enum AttemptOutcome {
     /// An answer to deliver to the caller.
-    Answered(Answered),
+    Answered(EndpointAnswer),
     /// The endpoint's own error response, which is delivered if no retry succeeds.
-    Failed(Answered),
+    Failed(EndpointAnswer),
     /// No answer.
-    Without(AttemptEnd),
+    NoAnswer(AttemptEnd),
 }
 
 /// An endpoint's answer.
-pub(super) struct Answered {
+pub(super) struct EndpointAnswer {
     pub head: Parts,
     pub endpoint: Incarnation,
     /// The body, if it was read to its end; else the open answer to relay.
@@ -63,40 +63,45 @@
 pub(super) struct OpenAnswer {
     pub body: Incoming,
     pub conn: Conn,
-    pub placed: Placed,
+    pub placed: Selection,
 }
 
 /// Connect time-out: a few round trips between halls. A connection that takes longer
 /// meets a full accept queue or a dead VM, and another endpoint is faster.
-const CONNECT: Duration = Duration::from_millis(100);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 /// Size in bytes up to which an answer is buffered, so that the request can be retried if
 /// the answer is interrupted.
-const MAX_WHOLE: u64 = 64 * 1024;
+const MAX_BUFFERED_ANSWER: u64 = 64 * 1024;
 
-impl Placed {
+impl Selection {
     /// Creates the record of a selected endpoint, without a permit.
-    pub fn new(open: Open, target: Option<Target>, why: Why, hold: Option<Hold>) -> Self {
+    pub fn new(
+        open: OpenRequest,
+        target: Option<Target>,
+        why: SelectionInputs,
+        hold: Option<Hold>,
+    ) -> Self {
         Self { open, target, began: Instant::now(), why, permit: None, _hold: hold }
     }
 }
 
 impl Job {
     /// Sends the request once and records the result.
-    pub(super) async fn attempt(&mut self, placed: Placed) -> Ended {
+    pub(super) async fn attempt(&mut self, placed: Selection) -> AttemptOutcome {
         let peer = placed.open.peer.clone();
         let sent = Instant::now();
         let ended = self.send(placed, &peer).await;
         let end = match &ended {
-            Ended::Answered(_) => "answered",
-            Ended::Failed(_) => "failed",
-            Ended::Without(end) => end_name(*end),
+            AttemptOutcome::Answered(_) => "answered",
+            AttemptOutcome::Failed(_) => "failed",
+            AttemptOutcome::NoAnswer(end) => end_name(*end),
         };
         self.entry.stats.attempt(end);
         self.note(&ended, &peer, sent);
         ended
     }
 
-    async fn send(&mut self, placed: Placed, peer: &Arc<Peer>) -> Ended {
+    async fn send(&mut self, placed: Selection, peer: &Arc<Peer>) -> AttemptOutcome {
         let once = !self.route.class.may_run_again();
         let take = |cx: &mut Context<'_>| Poll::Ready(peer.take_rested(cx, once));
         if let Some(conn) = poll_fn(take).await {
@@ -107,7 +112,7 @@
                 got => return self.sorted(got, placed, peer).await,
             }
         }
-        let got = match Conn::open(peer.endpoint().addr, CONNECT).await {
+        let got = match Conn::open(peer.endpoint().addr, CONNECT_TIMEOUT).await {
             Ok(conn) => {
                 self.entry.stats.connection("new");
                 self.exchange(conn, &placed, peer).await
@@ -124,7 +129,7 @@
     async fn exchange(
         &mut self,
         mut conn: Conn,
-        placed: &Placed,
+        placed: &Selection,
         peer: &Arc<Peer>,
     ) -> Result<(Response<Incoming>, Conn), SendError> {
         let endpoint = peer.endpoint();
@@ -172,9 +177,9 @@
     async fn sorted(
         &mut self,
         got: Result<(Response<Incoming>, Conn), SendError>,
-        placed: Placed,
+        placed: Selection,
         peer: &Arc<Peer>,
-    ) -> Ended {
+    ) -> AttemptOutcome {
         let (end, e) = match got {
             Ok((res, conn)) => return self.answered(res, conn, placed, peer).await,
             Err(e @ SendError::Unsent(..)) => (AttemptEnd::Unsent, e),
@@ -185,7 +190,7 @@
             }
         };
         log_attempt(self, peer, end, &e.to_string());
-        Ended::Without(end)
+        AttemptOutcome::NoAnswer(end)
     }
 
     /// Returns the metric label that tells first sends, retries and resumed streams
@@ -240,9 +245,9 @@
         &mut self,
         res: Response<Incoming>,
         conn: Conn,
-        placed: Placed,
+        placed: Selection,
         peer: &Arc<Peer>,
-    ) -> Ended {
+    ) -> AttemptOutcome {
         placed.open.has_read();
         let (head, body) = res.into_parts();
         let said = self.entry.protocol.answer(&head.headers, &self.caller.id);
@@ -252,7 +257,7 @@
         if said.echo == Echo::Other {
             peer.garbled();
             log_attempt(self, peer, AttemptEnd::Unclear, "answer to another request");
-            return Ended::Without(AttemptEnd::Unclear);
+            return AttemptOutcome::NoAnswer(AttemptEnd::Unclear);
         }
         if status == StatusCode::MISDIRECTED_REQUEST {
             let same = said.incarnation.is_none_or(|id| id == endpoint.id);
@@ -270,31 +275,31 @@
             }
             log_attempt(self, peer, end, "misdirected");
             self.spent(conn, body, peer).await;
-            return Ended::Without(end);
+            return AttemptOutcome::NoAnswer(end);
         }
         if said.not_run {
             log_attempt(self, peer, AttemptEnd::Rejected, status.as_str());
             self.spent(conn, body, peer).await;
-            return Ended::Without(AttemptEnd::Rejected);
+            return AttemptOutcome::NoAnswer(AttemptEnd::Rejected);
         }
         if status.is_success() && (!said.signed || said.echo == Echo::Missing) {
             log_attempt(self, peer, AttemptEnd::Unclear, "answer without signature");
-            return Ended::Without(AttemptEnd::Unclear);
+            return AttemptOutcome::NoAnswer(AttemptEnd::Unclear);
         }
         let whole = self.route.class == RouteClass::Repeatable
-            && body.size_hint().upper().is_some_and(|len| len <= MAX_WHOLE);
+            && body.size_hint().upper().is_some_and(|len| len <= MAX_BUFFERED_ANSWER);
         let open = OpenAnswer { body, conn, placed };
         let payload = match whole {
             true => match self.whole(open, &head, peer).await {
                 Some(bytes) => Ok(bytes),
-                None => return Ended::Without(AttemptEnd::Unclear),
+                None => return AttemptOutcome::NoAnswer(AttemptEnd::Unclear),
             },
             false => Err(open),
         };
-        let answered = Answered { head, endpoint: endpoint.id.clone(), payload };
+        let answered = EndpointAnswer { head, endpoint: endpoint.id.clone(), payload };
         match status.is_server_error() {
-            true => Ended::Failed(answered),
-            false => Ended::Answered(answered),
+            true => AttemptOutcome::Failed(answered),
+            false => AttemptOutcome::Answered(answered),
         }
     }
 
@@ -307,7 +312,8 @@
     ) -> Option<Bytes> {
         let OpenAnswer { body, mut conn, placed } = open;
         let began = placed.began;
-        let read = conn.read(peer.endpoint().addr, body, MAX_WHOLE as usize).await;
+        let read =
+            conn.read(peer.endpoint().addr, body, MAX_BUFFERED_ANSWER as usize).await;
         drop(placed);
         match read {
             Ok(bytes) => {
@@ -329,21 +335,21 @@
     /// Reads the body of a refusal, so that the connection can be reused.
     async fn spent(&self, mut conn: Conn, body: Incoming, peer: &Arc<Peer>) {
         let addr = peer.endpoint().addr;
-        if conn.read(addr, body, MAX_WHOLE as usize).await.is_ok() {
+        if conn.read(addr, body, MAX_BUFFERED_ANSWER as usize).await.is_ok() {
             rest(peer, conn).await;
         }
     }
 
     /// Records the attempt's result in the endpoint's quality.
-    fn note(&self, ended: &Ended, peer: &Arc<Peer>, sent: Instant) {
+    fn note(&self, ended: &AttemptOutcome, peer: &Arc<Peer>, sent: Instant) {
         let now = Instant::now();
         match ended {
-            Ended::Answered(_) => peer.quality(|q| q.good(now, now - sent)),
-            Ended::Failed(_)
-            | Ended::Without(AttemptEnd::Unclear | AttemptEnd::Rejected) => {
+            AttemptOutcome::Answered(_) => peer.quality(|q| q.good(now, now - sent)),
+            AttemptOutcome::Failed(_)
+            | AttemptOutcome::NoAnswer(AttemptEnd::Unclear | AttemptEnd::Rejected) => {
                 peer.quality(|q| q.bad(now));
             }
-            Ended::Without(_) => {}
+            AttemptOutcome::NoAnswer(_) => {}
         }
     }
 }
--- a/crates/larkspring/src/direct/entry/body.rs
+++ b/crates/larkspring/src/direct/entry/body.rs
@@ -16,35 +16,35 @@
 use crate::exec::within;
 
 /// The body of a request.
-pub(super) enum KeptBody {
+pub(super) enum RequestBody {
     /// A buffered body, which can be sent more than once.
-    Held { bytes: Bytes, _counted: Counted },
+    Buffered { bytes: Bytes, _counted: BufferedBytes },
     /// A body too large to buffer: the bytes read so far and the rest, which can be sent
     /// only once.
-    Flowing(Option<(Bytes, Incoming)>),
+    Streamed(Option<(Bytes, Incoming)>),
 }
 
 /// Bytes counted toward the entry's limit for buffered bodies.
-pub(super) struct Counted {
+pub(super) struct BufferedBytes {
     entry: Arc<Inner>,
     len: usize,
 }
 
 /// Maximum size in bytes of a buffered body. The largest prompts of the deployments have
 /// 110,000 bytes.
-const MAX_HELD_BODY: usize = 128 * 1024;
+const MAX_BUFFERED_BODY: usize = 128 * 1024;
 
 /// Reads a body to its end, or up to the limits for buffered bodies.
 pub(super) async fn read_body(
     entry: &Arc<Inner>,
     mut body: Incoming,
     max: usize,
-) -> Result<KeptBody, Reason> {
+) -> Result<RequestBody, Reason> {
     let declared = body.size_hint().exact();
     if declared.is_some_and(|len| len > max as u64) {
         return Err(Reason::BodyTooLarge);
     }
-    let mut counted = Counted { entry: entry.clone(), len: 0 };
+    let mut counted = BufferedBytes { entry: entry.clone(), len: 0 };
     let mut held = BytesMut::new();
     while !body.is_end_stream() {
         let frame = poll_fn(|cx| Pin::new(&mut body).poll_frame(cx)).await;
@@ -56,14 +56,14 @@
             return Err(Reason::BodyTooLarge);
         }
         held.extend_from_slice(&data);
-        if held.len() > MAX_HELD_BODY || !counted.add(data.len()) {
-            return Ok(KeptBody::Flowing(Some((held.freeze(), body))));
+        if held.len() > MAX_BUFFERED_BODY || !counted.add(data.len()) {
+            return Ok(RequestBody::Streamed(Some((held.freeze(), body))));
         }
     }
-    Ok(KeptBody::Held { bytes: held.freeze(), _counted: counted })
+    Ok(RequestBody::Buffered { bytes: held.freeze(), _counted: counted })
 }
 
-impl Counted {
+impl BufferedBytes {
     /// Counts bytes; returns whether the total is within the limit.
     fn add(&mut self, len: usize) -> bool {
         let all = self.entry.kept_bytes.fetch_add(len, Ordering::Relaxed) + len;
@@ -72,7 +72,7 @@
     }
 }
 
-impl Drop for Counted {
+impl Drop for BufferedBytes {
     fn drop(&mut self) {
         self.entry.kept_bytes.fetch_sub(self.len, Ordering::Relaxed);
     }
@@ -86,29 +86,29 @@
 pub(super) fn content(
     path: &str,
     workspace: Option<&str>,
-    body: &KeptBody,
+    body: &RequestBody,
 ) -> ContentHash {
     let bytes = match body {
-        KeptBody::Held { bytes, .. } => bytes,
-        KeptBody::Flowing(Some((first, _))) => first,
-        KeptBody::Flowing(None) => &Bytes::new(),
+        RequestBody::Buffered { bytes, .. } => bytes,
+        RequestBody::Streamed(Some((first, _))) => first,
+        RequestBody::Streamed(None) => &Bytes::new(),
     };
-    let start = &bytes[..bytes.len().min(MAX_HELD_BODY)];
+    let start = &bytes[..bytes.len().min(MAX_BUFFERED_BODY)];
     let caller = xxh3_64(workspace.unwrap_or_default().as_bytes());
     xxh3_64_with_seed(start, xxh3_64_with_seed(path.as_bytes(), caller))
 }
 
-impl KeptBody {
+impl RequestBody {
     /// Returns whether the body is buffered and not empty, so that the fingerprint tells
     /// the request from others.
     pub fn is_telling(&self) -> bool {
-        matches!(self, Self::Held { bytes, .. } if !bytes.is_empty())
+        matches!(self, Self::Buffered { bytes, .. } if !bytes.is_empty())
     }
 }
 
 /// Maximum time for reading the body of a refused request. Callers may read the answer
 /// only after they have sent the body.
-const DISCARD: Duration = Duration::from_secs(1);
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Reads and drops the body of a refused request, so that the connection is not reset
 /// before the caller reads the answer.
@@ -116,12 +116,12 @@
     let Some(mut body) = body else { return };
     let read = async {
         let mut len = 0;
-        while len < MAX_HELD_BODY && !body.is_end_stream() {
+        while len < MAX_BUFFERED_BODY && !body.is_end_stream() {
             let next = poll_fn(|cx| Pin::new(&mut body).poll_frame(cx)).await;
             let Some(Ok(frame)) = next else { return };
             len += frame.into_data().map_or(0, |data| data.len());
         }
     };
     // A body that does not arrive in time is dropped with its connection.
-    let _ = within(DISCARD, read).await;
+    let _ = within(DISCARD_TIMEOUT, read).await;
 }
--- a/crates/larkspring/src/direct/entry/directory.rs
+++ b/crates/larkspring/src/direct/entry/directory.rs
@@ -47,24 +47,24 @@
 /// agent makes as many calls to the store as it saves.
 const MIN_ENTRIES: u32 = 3;
 /// Connect time-out for agents.
-const CONNECT: Duration = Duration::from_millis(150);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 /// Fraction of a routing's maximum age after which a newer freshness proof is urgent: the
 /// next source is read without waiting for a change. An agent's own reads take two fifths
 /// of the maximum age. The rest covers two agents of the hall, the store and two agents
 /// of other halls that do not answer.
-const URGENT_PART: f64 = 0.55;
+const URGENT_FRACTION: f64 = 0.55;
 /// Fraction of a routing's maximum age for which an agent may wait for a change of the
 /// routing before it replies.
-const ROUTING_WAIT_PART: f64 = 0.1;
+const ROUTING_WAIT_FRACTION: f64 = 0.1;
 /// Time-out of the store, besides its wait for a change, after which agents of other
 /// halls are asked for the routing: a slow store takes 60 times the usual 4 ms.
-const STORE_ANSWER: Duration = Duration::from_millis(300);
+const STORE_TIMEOUT: Duration = Duration::from_millis(300);
 /// Maximum wait of an urgent read for a change.
 const URGENT_WAIT: Duration = Duration::from_millis(1);
 /// How long an agent that failed to return a usable state gets no requests.
-const PASSED_OVER: Duration = Duration::from_secs(3);
+const SKIP_DURATION: Duration = Duration::from_secs(3);
 /// Limits the agents of other halls that are asked when no other source answers.
-const MAX_FAR: usize = 2;
+const MAX_OTHER_HALL_AGENTS: usize = 2;
 /// Limits the connections to agents.
 const MAX_CONNECTIONS: usize = 6;
 
@@ -75,7 +75,7 @@
             store,
             fleet,
             hall: cfg.hall.clone(),
-            pool: Pool::new(MAX_CONNECTIONS, CONNECT),
+            pool: Pool::new(MAX_CONNECTIONS, CONNECT_TIMEOUT),
             store_paces: Kind::ALL.map(|kind| {
                 StorePace::of_entry(cfg.bound(kind), ProcessCfg::changes(kind))
             }),
@@ -129,7 +129,7 @@
         }
         let wait = ask.after.map_or(Duration::ZERO, |after| after.wait);
         let read = self.store.read(ask, pace);
-        let read = within(wait + pace.answer + STORE_ANSWER, read).await;
+        let read = within(wait + pace.answer + STORE_TIMEOUT, read).await;
         let silent = || PlatformError::NoEffect("read objects", "no answer".into());
         read.unwrap_or_else(|| Err(silent()))
     }
@@ -140,7 +140,7 @@
         let Some(trusted) = self.trusted.filter(|_| kind == Kind::Routing) else {
             return false;
         };
-        let urgent = trusted.mul_f64(URGENT_PART);
+        let urgent = trusted.mul_f64(URGENT_FRACTION);
         self.proved.lock().is_none_or(|at| at.elapsed() > urgent)
     }
 
@@ -172,11 +172,11 @@
     }
 
     /// Returns the agent of each other hall that reads the store for its own entries, for
-    /// up to [`MAX_FAR`] halls.
+    /// up to [`MAX_OTHER_HALL_AGENTS`] halls.
     fn far_agents(&self) -> Vec<Arc<Peer>> {
         let halls = self.fleet.halls();
         let far = halls.iter().filter(|hall| **hall != self.hall);
-        far.flat_map(|hall| self.first_of(hall, 1)).take(MAX_FAR).collect()
+        far.flat_map(|hall| self.first_of(hall, 1)).take(MAX_OTHER_HALL_AGENTS).collect()
     }
 
     fn first_of(&self, hall: &HallId, count: usize) -> Vec<Arc<Peer>> {
@@ -196,7 +196,7 @@
         let pace = &self.agent_paces[ask.kind as usize];
         let wait = pace.wait_at(self.age(ask.kind).unwrap_or_default());
         let keys = self.trusted.filter(|_| ask.kind == Kind::Routing);
-        let wait = keys.map_or(wait, |age| wait.min(age.mul_f64(ROUTING_WAIT_PART)));
+        let wait = keys.map_or(wait, |age| wait.min(age.mul_f64(ROUTING_WAIT_FRACTION)));
         let known = ask.after.map_or(StorePoint::default(), |after| after.at);
         let wait = ask.after.map_or(wait, |after| after.wait.min(wait));
         let req = wire::ReadRequest {
@@ -253,7 +253,7 @@
     /// Returns whether a freshness proof is so old that another source is asked.
     fn is_unproved(&self, kind: Kind, age: Duration) -> bool {
         let trusted = self.trusted.filter(|_| kind == Kind::Routing);
-        trusted.is_some_and(|trusted| age > trusted.mul_f64(URGENT_PART))
+        trusted.is_some_and(|trusted| age > trusted.mul_f64(URGENT_FRACTION))
     }
 
     fn pass_over(&self, peer: &Peer, kind: Kind, cause: &str) {
@@ -262,7 +262,7 @@
         if logs::allows(logs::Line::Belief) {
             tracing::info!(event = "agent not asked", agent, kind = kind.name(), cause);
         }
-        self.passed_over.lock().push((id, Instant::now() + PASSED_OVER));
+        self.passed_over.lock().push((id, Instant::now() + SKIP_DURATION));
     }
 }
 
--- a/crates/larkspring/src/direct/entry/ends.rs
+++ b/crates/larkspring/src/direct/entry/ends.rs
@@ -22,7 +22,7 @@
 use super::attempt::rest;
 use super::fleet::Fleet;
 use super::link::Link;
-use super::peer::{BrokenOff, Peer};
+use super::peer::{InterruptedRequest, Peer};
 use crate::direct::conn::Conn;
 use crate::direct::logs::{self, Line};
 use crate::direct::quarantine::{write_end, Findings};
@@ -31,46 +31,46 @@
 use crate::http::client::{connect, HttpError};
 
 /// The crashes that this entry detected, and the known crash reports of all entries.
-pub(super) struct Ends {
+pub(super) struct CrashDetector {
     fleet: Arc<Fleet>,
     findings: Arc<Findings>,
     stats: Arc<Stats>,
     /// Crashes detected by this entry, the latest last.
-    seen: Mutex<VecDeque<Seen>>,
+    seen: Mutex<VecDeque<DetectedCrash>>,
     /// The live agents at the last check for agents that lack a report.
-    agents: Mutex<Vec<Told>>,
+    agents: Mutex<Vec<AgentConnection>>,
 }
 
 /// An agent and the number of the connection to it.
-type Told = (SocketAddr, u64);
+type AgentConnection = (SocketAddr, u64);
 
 /// A crash of a run under a request.
-struct Seen {
+struct DetectedCrash {
     content: ContentHash,
     end: End,
     /// Agents to which the crash was reported.
-    told: Vec<Told>,
+    told: Vec<AgentConnection>,
 }
 
 /// Time-out of a probe of the endpoint's port. Allows for one lost packet, which the
 /// operating system resends after a second.
-const LOOK: Duration = Duration::from_millis(1200);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(1200);
 /// How long to wait for another run of the endpoint, reported by its agent or by its own
 /// answer, if the probe is inconclusive. Engines restart in about 3 s.
-const NEXT_RUN: Duration = Duration::from_secs(5);
+const NEXT_RUN_TIMEOUT: Duration = Duration::from_secs(5);
 /// Number of agents that count the crashes of a request fingerprint. With two, the count
 /// survives the loss of one agent.
-const HOMES: usize = 2;
+const COUNTING_AGENTS: usize = 2;
 /// Interval of checks for agents that lack a report, since an agent became unresponsive
 /// or restarted and another may have taken its place.
-const TELL_AGAIN: Duration = Duration::from_secs(1);
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 /// How long a crash is reported to agents that take the place of others. Callers have
 /// retried a request that crashes endpoints a few times by then.
-const TOLD_FOR: Duration = Duration::from_secs(60);
+const REPORT_PERIOD: Duration = Duration::from_secs(60);
 /// Limits the crashes kept for these reports: those of 64 engines with 64 requests each.
-const MAX_SEEN: usize = 4096;
+const MAX_DETECTED_CRASHES: usize = 4096;
 
-impl Ends {
+impl CrashDetector {
     /// Creates a record without crashes.
     pub fn new(
         fleet: Arc<Fleet>,
@@ -99,7 +99,12 @@
         if endpoint.leaving || !self.fleet.lists(&endpoint.id) {
             return;
         }
-        if peer.broke(BrokenOff { content, id: id.into(), began, at: Instant::now() }) {
+        if peer.broke(InterruptedRequest {
+            content,
+            id: id.into(),
+            began,
+            at: Instant::now(),
+        }) {
             exec::spawn(self.clone().look(peer.clone())).detach();
         }
     }
@@ -123,8 +128,8 @@
     /// Reports recent crashes to agents that take the place of others, for ever.
     pub async fn run(self: Arc<Self>) {
         loop {
-            Timer::after(TELL_AGAIN).await;
-            let recent = |seen: &Seen| seen.end.at.elapsed() < TOLD_FOR;
+            Timer::after(REPORT_INTERVAL).await;
+            let recent = |seen: &DetectedCrash| seen.end.at.elapsed() < REPORT_PERIOD;
             self.seen.lock().retain(recent);
             if self.agents_changed() {
                 self.tell();
@@ -152,7 +157,7 @@
             return;
         }
         let run = xxh3_64(endpoint.id.as_bytes());
-        for BrokenOff { content, id, began, at } in broken {
+        for InterruptedRequest { content, id, began, at } in broken {
             let attempt = xxh3_64_with_seed(id.as_bytes(), run);
             self.saw(content, End { attempt, began, at });
         }
@@ -162,7 +167,7 @@
     /// Returns whether an endpoint crashed while its VM kept running.
     async fn has_ended(&self, peer: &Arc<Peer>, since: Instant) -> bool {
         let addr = peer.endpoint().addr;
-        match connect(&addr.to_string(), LOOK).await {
+        match connect(&addr.to_string(), PROBE_TIMEOUT).await {
             Err(HttpError::Refused(_)) => return true,
             Ok(sock) => {
                 // The probe's connection goes to the idle pool for the next request.
@@ -175,17 +180,17 @@
             Err(_) => {}
         }
         // The endpoint may have restarted and listen on the port again.
-        within(NEXT_RUN, self.fleet.next_run(peer, since)).await.is_some()
+        within(NEXT_RUN_TIMEOUT, self.fleet.next_run(peer, since)).await.is_some()
     }
 
     /// Keeps a crash for the agents, and counts it in this entry too, in case no agent is
     /// live.
     fn saw(&self, content: ContentHash, end: End) {
         let mut seen = self.seen.lock();
-        if seen.len() >= MAX_SEEN {
+        if seen.len() >= MAX_DETECTED_CRASHES {
             seen.pop_front();
         }
-        seen.push_back(Seen { content, end, told: Vec::new() });
+        seen.push_back(DetectedCrash { content, end, told: Vec::new() });
         self.findings.ended(content, end);
     }
 
@@ -227,6 +232,10 @@
         let links = self.fleet.live_links().into_iter();
         let named = links.map(|(addr, link)| (addr.to_string().into(), addr, link));
         let ranked = ranked(content, named.collect(), |(name, _, _)| name);
-        ranked.into_iter().take(HOMES).map(|(_, addr, link)| (addr, link)).collect()
+        ranked
+            .into_iter()
+            .take(COUNTING_AGENTS)
+            .map(|(_, addr, link)| (addr, link))
+            .collect()
     }
 }
--- a/crates/larkspring/src/direct/entry/events.rs
+++ b/crates/larkspring/src/direct/entry/events.rs
@@ -6,7 +6,7 @@
 
 /// Splits a stream into whole server-sent events.
 #[derive(Debug, Default)]
-pub(super) struct Events {
+pub(super) struct EventSplitter {
     buf: BytesMut,
     /// Id of the last event that was returned.
     pub last: Option<String>,
@@ -14,11 +14,11 @@
 
 /// Maximum size in bytes of a buffered event. Longer events are relayed in parts, after
 /// which a stream can't be resumed correctly.
-const MAX_EVENT: usize = 256 * 1024;
-const END: &[u8] = b"\n\n";
-const ID: &[u8] = b"id:";
+const MAX_EVENT_BYTES: usize = 256 * 1024;
+const EVENT_END: &[u8] = b"\n\n";
+const ID_FIELD: &[u8] = b"id:";
 
-impl Events {
+impl EventSplitter {
     /// Creates a splitter for a stream that continues after the event `last`.
     pub fn after(last: Option<String>) -> Self {
         Self { last, ..Self::default() }
@@ -27,10 +27,10 @@
     /// Adds bytes and returns the whole events received so far.
     pub fn push(&mut self, data: &[u8]) -> Bytes {
         self.buf.extend_from_slice(data);
-        let end = memmem::rfind(&self.buf, END).map(|at| at + END.len());
+        let end = memmem::rfind(&self.buf, EVENT_END).map(|at| at + EVENT_END.len());
         let end = match end {
             Some(end) => end,
-            None if self.buf.len() > MAX_EVENT => self.buf.len(),
+            None if self.buf.len() > MAX_EVENT_BYTES => self.buf.len(),
             None => return Bytes::new(),
         };
         let whole = self.buf.split_to(end).freeze();
@@ -53,7 +53,7 @@
 
 fn last_id(events: &[u8]) -> Option<String> {
     let lines = events.split(|b| *b == b'\n').rev();
-    let mut ids = lines.filter_map(|line| line.strip_prefix(ID));
+    let mut ids = lines.filter_map(|line| line.strip_prefix(ID_FIELD));
     let id = std::str::from_utf8(ids.next()?).ok()?;
     Some(id.trim().to_owned())
 }
--- a/crates/larkspring/src/direct/entry/fleet.rs
+++ b/crates/larkspring/src/direct/entry/fleet.rs
@@ -16,7 +16,7 @@
 use parking_lot::Mutex;
 use smol::{Task, Timer};
 
-use super::link::{engine_of, Heard, Link, Told, Who};
+use super::link::{engine_of, EntryIdentity, Link, LinkEvents, MessageSinks};
 use super::peer::Peer;
 use crate::direct::beliefs::Beliefs;
 use crate::direct::logs::{self, Line};
@@ -25,10 +25,10 @@
 /// The endpoints of all services, and the connections to the agents beside them.
 pub(super) struct Fleet {
     beliefs: Arc<Beliefs>,
-    who: Who,
+    who: EntryIdentity,
     agent_port: u16,
     peers: ArcSwap<Peers>,
-    links: Mutex<HashMap<SocketAddr, Kept>>,
+    links: Mutex<HashMap<SocketAddr, MaintainedLink>>,
     news: Arc<Event>,
     /// Notified when an agent reports another run of its engine, that the engine drains,
     /// or another rate limit.
@@ -37,7 +37,7 @@
     /// which wakes every request that waits for an endpoint.
     moved: Event,
     /// Receivers of the agents' reports.
-    told: Told,
+    told: MessageSinks,
     /// Availability of endpoints that are not listed now. An endpoint whose listing
     /// expired while the store was unavailable is listed again later and may still be
     /// draining.
@@ -54,24 +54,24 @@
 }
 
 /// A connection to an agent and the task that keeps it open.
-struct Kept {
+struct MaintainedLink {
     link: Arc<Link>,
     _task: Task<()>,
 }
 
 /// Limits the number of runs remembered as listed. With 11,000 endpoints and 4,300
 /// restarts a day, that covers several days.
-const MAX_LISTED: usize = 32 * 1024;
+const MAX_LISTED_RUNS: usize = 32 * 1024;
 /// Interval between sweeps that close connections which were idle for too long.
-const SWEEP: Duration = Duration::from_secs(1);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Fleet {
     /// Creates a fleet without endpoints.
     pub fn new(
         beliefs: Arc<Beliefs>,
-        who: Who,
+        who: EntryIdentity,
         agent_port: u16,
-        told: Told,
+        told: MessageSinks,
     ) -> Arc<Self> {
         Arc::new(Self {
             beliefs,
@@ -107,7 +107,7 @@
     /// Periodically closes connections that were idle for too long, for ever.
     pub async fn sweep(self: Arc<Self>) {
         loop {
-            Timer::after(SWEEP).await;
+            Timer::after(SWEEP_INTERVAL).await;
             for peer in self.peers.load().by_id.values() {
                 peer.sweep();
             }
@@ -132,7 +132,13 @@
     }
 
     /// Applies a notice about an endpoint from one of its answers or from its agent.
-    pub fn hear(&self, peer: &Peer, asked: Instant, notice: Notice, source: Source<'_>) {
+    pub fn hear(
+        &self,
+        peer: &Peer,
+        asked: Instant,
+        notice: Notice,
+        source: NoticeSource<'_>,
+    ) {
         let news = peer.hear(asked, notice);
         log_news(peer, notice, news, source);
         if news.leaves || news.rests {
@@ -272,10 +278,15 @@
                 }
             };
             if peer.leaves_by_agent() {
-                self.hear(&peer, Instant::now(), Notice::LEAVING, Source::Agent);
+                self.hear(&peer, Instant::now(), Notice::LEAVING, NoticeSource::Agent);
             }
             if let Some(word) = peer.take_rate_word() {
-                self.hear(&peer, Instant::now(), Notice::of_rate(word), Source::Agent);
+                self.hear(
+                    &peer,
+                    Instant::now(),
+                    Notice::of_rate(word),
+                    NoticeSource::Agent,
+                );
             }
             now.by_id.insert(endpoint.id.clone(), peer.clone());
             now.by_service.entry(endpoint.service.clone()).or_default().push(peer);
@@ -300,7 +311,7 @@
     /// Keeps the availability of endpoints that are not listed any more.
     fn keep_unlisted(&self, before: &Peers, now: &Peers) {
         let mut unlisted = self.unlisted.lock();
-        if unlisted.len() >= MAX_LISTED {
+        if unlisted.len() >= MAX_LISTED_RUNS {
             unlisted.clear();
         }
         let missing = before.by_id.iter().filter(|(id, _)| !now.by_id.contains_key(*id));
@@ -323,7 +334,7 @@
         });
         let mut endpoints = latest_by_addr(endpoints);
         let mut listed = self.listed.lock();
-        if listed.len() >= MAX_LISTED {
+        if listed.len() >= MAX_LISTED_RUNS {
             listed.clear();
         }
         listed.extend(endpoints.iter().map(|e| e.id.clone()));
@@ -347,7 +358,7 @@
         if let Some(kept) = links.get(&addr) {
             return kept.link.clone();
         }
-        let heard = Heard {
+        let heard = LinkEvents {
             news: self.news.clone(),
             runs: self.runs.clone(),
             told: self.told.clone(),
@@ -356,7 +367,7 @@
         let (beliefs, service) = (self.beliefs.clone(), service.clone());
         let engine = move || engine_of(beliefs.routing().as_deref(), &service);
         let task = exec::spawn(link.clone().run(self.who.clone(), engine));
-        links.insert(addr, Kept { link: link.clone(), _task: task });
+        links.insert(addr, MaintainedLink { link: link.clone(), _task: task });
         link
     }
 
@@ -368,20 +379,20 @@
 
 /// The source of a notice about an endpoint.
 #[derive(Debug, Clone, Copy)]
-pub(super) enum Source<'a> {
+pub(super) enum NoticeSource<'a> {
     /// An answer of the endpoint to a request.
     Answer { request: &'a str, status: u16 },
     /// The agent beside the endpoint.
     Agent,
 }
 
-fn log_news(peer: &Peer, notice: Notice, news: News, source: Source<'_>) {
+fn log_news(peer: &Peer, notice: Notice, news: News, source: NoticeSource<'_>) {
     if !news.is_any() || !logs::allows(Line::Belief) {
         return;
     }
     let (request, status) = match source {
-        Source::Answer { request, status } => (Some(request), Some(status)),
-        Source::Agent => (None, None),
+        NoticeSource::Answer { request, status } => (Some(request), Some(status)),
+        NoticeSource::Agent => (None, None),
     };
     let rate = peer.availability().lock().rate_named();
     tracing::info!(
--- a/crates/larkspring/src/direct/entry/job.rs
+++ b/crates/larkspring/src/direct/entry/job.rs
@@ -16,13 +16,13 @@
 
 use super::admit::Charge;
 use super::answer::{close_if_leaving, own, AnswerBody, Reason};
-use super::attempt::{Answered, Ended};
-use super::body::{content, discard, read_body, KeptBody};
+use super::attempt::{AttemptOutcome, EndpointAnswer};
+use super::body::{content, discard, read_body, RequestBody};
 use super::log::{log_answered, log_refused};
 use super::peer::Peer;
 use super::relay::Relay;
-use super::serve::Done;
-use super::view::Why;
+use super::serve::ExchangeGuard;
+use super::view::SelectionInputs;
 use super::Inner;
 use crate::direct::conn::SendBody;
 use crate::direct::edge::CallerRequest;
@@ -43,7 +43,7 @@
     pub method: Method,
     pub uri: Uri,
     pub headers: HeaderMap,
-    pub body: KeptBody,
+    pub body: RequestBody,
     pub received: Instant,
     /// When the request times out, by the caller's deadline or the route's time-out.
     pub deadline: Instant,
@@ -61,20 +61,20 @@
     /// Time spent waiting for the adapter so far.
     pub waited: Duration,
     /// The inputs of the last endpoint selection.
-    pub why: Option<Why>,
+    pub why: Option<SelectionInputs>,
 }
 
 /// Time-out of a request without a deadline on a route without a time-out.
-const DEFAULT_DEADLINE: Duration = Duration::from_secs(60);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(60);
 /// How long a request waits for the routing, which is loaded shortly after the start.
-const WAIT_FOR_ROUTING: Duration = Duration::from_millis(100);
+const ROUTING_TIMEOUT: Duration = Duration::from_millis(100);
 /// Fraction of the latency objective within which a refusal still leaves the caller time
 /// to retry.
-const EARLY_PART: f64 = 0.25;
+const EARLY_FRACTION: f64 = 0.25;
 /// Time reserved for the answer when a request waits for an endpoint.
-const KEPT_FOR_ANSWER: Duration = Duration::from_millis(500);
+const ANSWER_RESERVE: Duration = Duration::from_millis(500);
 /// Hop-by-hop headers, which are not forwarded.
-const HOP_HEADERS: [HeaderName; 8] = [
+const HOP_BY_HOP_HEADERS: [HeaderName; 8] = [
     CONNECTION,
     HeaderName::from_static("keep-alive"),
     HeaderName::from_static("proxy-connection"),
@@ -89,7 +89,7 @@
 pub(super) async fn serve(
     entry: Arc<Inner>,
     req: Request<Incoming>,
-    done: Done,
+    done: ExchangeGuard,
 ) -> Response<AnswerBody> {
     let received = Instant::now();
     let (head, body) = req.into_parts();
@@ -131,7 +131,7 @@
     let Some(service) = service.and_then(|name| routing.service(name)).cloned() else {
         return refuse(Reason::NoEndpoint, Some(body), done);
     };
-    let waits = caller.deadline.unwrap_or(DEFAULT_DEADLINE);
+    let waits = caller.deadline.unwrap_or(DEFAULT_TIMEOUT);
     let allowed = waits.min(route.timeout.unwrap_or(waits));
     let deadline = received + allowed;
     let charge = match &workspace {
@@ -155,7 +155,7 @@
     let body = match read {
         Some(Ok(body)) => body,
         Some(Err(reason)) => return refuse(reason, None, done),
-        None => return refuse(Reason::LateNotRun, None, done),
+        None => return refuse(Reason::TimedOutNotRun, None, done),
     };
     let name = workspace.as_ref().map(|w| &*w.name);
     let content = content(head.uri.path(), name, &body);
@@ -187,7 +187,7 @@
 }
 
 impl Job {
-    async fn run(mut self, done: Done) -> Response<AnswerBody> {
+    async fn run(mut self, done: ExchangeGuard) -> Response<AnswerBody> {
         let (left, in_flight) = (self.left(), self.in_flight.clone());
         let entry = self.entry.clone();
         let stopping = async {
@@ -207,8 +207,8 @@
         let (reason, after) = match ended {
             Some(Ok(answered)) => return self.deliver(answered, done),
             Some(Err((reason, after))) => (reason, after),
-            None if may_run => (Reason::LateUnclear, None),
-            None => (Reason::LateNotRun, None),
+            None if may_run => (Reason::TimedOutUnclear, None),
+            None => (Reason::TimedOutNotRun, None),
         };
         // The refusal of a later attempt does not prove that an earlier one has not run.
         let (reason, after) = match may_run && reason.says_not_run() {
@@ -235,21 +235,23 @@
         if !self.entry.cfg().without.uses(Mechanism::Patience) {
             return Duration::ZERO;
         }
-        let early = self.route.objective.mul_f64(EARLY_PART);
+        let early = self.route.objective.mul_f64(EARLY_FRACTION);
         let can_come_back = !self.is_back && !self.history.may_have_run;
         match early.checked_sub(self.received.elapsed()) {
             Some(left) if can_come_back => left.min(self.left()),
-            _ => self.left().saturating_sub(KEPT_FOR_ANSWER),
+            _ => self.left().saturating_sub(ANSWER_RESERVE),
         }
     }
 
     /// Selects endpoints and sends the request until it is answered or no attempt is
     /// left. Returns an endpoint's own error response if no later attempt does better.
-    pub async fn attempts(&mut self) -> Result<Answered, (Reason, Option<Duration>)> {
+    pub async fn attempts(
+        &mut self,
+    ) -> Result<EndpointAnswer, (Reason, Option<Duration>)> {
         let mut own_failure = None;
         loop {
             if self.entry.ends.refuses(self.content) {
-                return own_failure.ok_or((Reason::EndsEndpoints, None));
+                return own_failure.ok_or((Reason::CrashesEndpoints, None));
             }
             let placed = match self.place().await {
                 Ok(placed) => placed,
@@ -257,17 +259,17 @@
             };
             let peer = placed.open.peer.clone();
             let end = match self.attempt(placed).await {
-                Ended::Answered(answered) => return Ok(answered),
-                Ended::Failed(answered) => {
+                AttemptOutcome::Answered(answered) => return Ok(answered),
+                AttemptOutcome::Failed(answered) => {
                     own_failure = Some(answered);
                     AttemptEnd::Failed
                 }
-                Ended::Without(end) => end,
+                AttemptOutcome::NoAnswer(end) => end,
             };
             let reason = match self.after(end, &peer) {
                 Next::Elsewhere | Next::Same => continue,
                 Next::Deliver | Next::Fail => Reason::Unclear,
-                Next::Refuse if end == AttemptEnd::Unsent => Reason::Unsent,
+                Next::Refuse if end == AttemptEnd::Unsent => Reason::NotReached,
                 Next::Refuse => Reason::Rejected,
             };
             return own_failure.ok_or((reason, None));
@@ -324,15 +326,19 @@
     /// Returns the body for one send; `None` if it was sent before and is not buffered.
     pub fn send_body(&mut self) -> Option<SendBody> {
         match &mut self.body {
-            KeptBody::Held { bytes, .. } => Some(SendBody::kept(bytes.clone())),
-            KeptBody::Flowing(flow) => {
+            RequestBody::Buffered { bytes, .. } => Some(SendBody::kept(bytes.clone())),
+            RequestBody::Streamed(flow) => {
                 let (first, rest) = flow.take()?;
                 Some(SendBody::flow(first, rest, self.routing.bounds.max_body))
             }
         }
     }
 
-    fn deliver(self, answered: Answered, done: Done) -> Response<AnswerBody> {
+    fn deliver(
+        self,
+        answered: EndpointAnswer,
+        done: ExchangeGuard,
+    ) -> Response<AnswerBody> {
         let entry = self.entry.clone();
         entry.stats.first_byte(&self.route.name, self.received.elapsed());
         let (mut head, payload) = (answered.head, answered.payload);
@@ -368,7 +374,7 @@
     if let Some(routing) = entry.beliefs.routing() {
         return Some(routing);
     }
-    within(WAIT_FOR_ROUTING, changed).await;
+    within(ROUTING_TIMEOUT, changed).await;
     entry.beliefs.routing()
 }
 
@@ -381,7 +387,7 @@
         .flat_map(|v| v.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in HOP_HEADERS.iter().chain(&named) {
+    for name in HOP_BY_HOP_HEADERS.iter().chain(&named) {
         headers.remove(name);
     }
     headers
--- a/crates/larkspring/src/direct/entry/known.rs
+++ b/crates/larkspring/src/direct/entry/known.rs
@@ -12,13 +12,13 @@
 
 /// The agent's latest reports.
 #[derive(Debug, Default)]
-pub(super) struct Known {
+pub(super) struct EngineState {
     /// When the agent's last message came; `None` before the first one.
     pub heard: Option<Instant>,
     /// Whether the agent is responsive.
     pub live: bool,
     /// The run of the engine that was last reported.
-    pub run: Option<NamedRun>,
+    pub run: Option<ReportedRun>,
     /// Whether the agent has reported a run on the current connection. Each connection
     /// begins with a whole state.
     named_here: bool,
@@ -50,7 +50,7 @@
 
 /// A run of an engine as reported by the agent.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct NamedRun {
+pub(super) struct ReportedRun {
     pub id: Incarnation,
     /// When the run was first reported.
     pub since: Instant,
@@ -61,7 +61,7 @@
 
 /// The changes by a new state report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct Changed {
+pub(super) struct StateChanges {
     /// Whether the engine's state of service changed.
     pub engagement: bool,
     /// Whether the engine is another run or has begun to drain.
@@ -70,9 +70,9 @@
     pub rate: bool,
 }
 
-impl Known {
+impl EngineState {
     /// Applies a state report; `mine` is the number of granted holds of this entry.
-    pub fn take(&mut self, now: Instant, state: wire::State, mine: u32) -> Changed {
+    pub fn take(&mut self, now: Instant, state: wire::State, mine: u32) -> StateChanges {
         let engagement = state.engagement != self.state.engagement;
         let leaves = state.leaving && !self.state.leaving;
         let run = self.apply(now, &state) || leaves;
@@ -80,7 +80,7 @@
         self.unread = Some(Unread::new(now, state.unread_tokens));
         self.mine_then = mine;
         self.state = state;
-        Changed { engagement, run, rate }
+        StateChanges { engagement, run, rate }
     }
 
     /// Returns the known state of the engine; `mine` is the number of granted holds of
@@ -192,7 +192,7 @@
         if is_new {
             let id = state.run.as_str().into();
             let in_place = self.named_here;
-            self.run = Some(NamedRun { id, since: now, in_place });
+            self.run = Some(ReportedRun { id, since: now, in_place });
         }
         self.named_here |= !state.run.is_empty();
         is_new
--- a/crates/larkspring/src/direct/entry/limits.rs
+++ b/crates/larkspring/src/direct/entry/limits.rs
@@ -49,16 +49,16 @@
 
 /// Interval of messages to bucket owners without requested units: four fit into the time
 /// after which owners remove an entry.
-const BEAT: Duration = Duration::from_millis(250);
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 /// How long a bucket owner that did not reply gets no requests. An agent that is
 /// unresponsive for longer is no owner for any entry.
-const PASSED_OVER: Duration = Duration::from_millis(1000);
+const SKIP_DURATION: Duration = Duration::from_millis(1000);
 /// Number of entries assumed while no agent is live, close to the 68 of the largest
 /// deployment. With 1, each entry would grant the whole limit after the loss of all
 /// agents.
-const UNKNOWN_ENTRIES: u32 = 64;
+const ASSUMED_ENTRIES: u32 = 64;
 /// Number of workspaces per bucket owner, so that an entry sends to few owners at a time.
-const GROUP: usize = 64;
+const GROUP_SIZE: usize = 64;
 
 impl Limits {
     /// Creates limits without reserved units; `grants` receives the bucket owners'
@@ -125,7 +125,7 @@
             self.decide_unanswered(now);
             self.ask(now, now >= beat_at);
             if now >= beat_at {
-                beat_at = now + BEAT;
+                beat_at = now + POLL_INTERVAL;
             }
             let next = self.accounts.lock().next_at();
             let timer = async {
@@ -170,7 +170,7 @@
             if logs::allows(logs::Line::Belief) {
                 tracing::info!(event = "home of limits passed over", agent = %home);
             }
-            self.passed_over.lock().push((home, now + PASSED_OVER));
+            self.passed_over.lock().push((home, now + SKIP_DURATION));
         }
     }
 
@@ -215,7 +215,7 @@
     /// moment.
     fn entries(&self) -> u32 {
         match self.fleet.live_links().is_empty() {
-            true => UNKNOWN_ENTRIES,
+            true => ASSUMED_ENTRIES,
             false => self.fleet.entries().0,
         }
     }
@@ -225,7 +225,7 @@
     fn groups(&self) -> u64 {
         let routing = self.beliefs.routing();
         let workspaces = routing.as_ref().and_then(|r| r.workspaces.as_ref());
-        workspaces.map_or(0, |w| w.count().div_ceil(GROUP) as u64)
+        workspaces.map_or(0, |w| w.count().div_ceil(GROUP_SIZE) as u64)
     }
 
     fn home(&self, now: Instant, group: u64) -> Option<(SocketAddr, Arc<Link>)> {
--- a/crates/larkspring/src/direct/entry/link.rs
+++ b/crates/larkspring/src/direct/entry/link.rs
@@ -27,9 +27,9 @@
 use smol::Timer;
 use tonic::Status;
 
-use self::hold::Held;
-pub(super) use self::hold::{Hold, HoldEnd, Need};
-use super::known::{EngineView, Known, NamedRun};
+use self::hold::HoldRecord;
+pub(super) use self::hold::{Hold, HoldEnd, HoldRequest};
+use super::known::{EngineState, EngineView, ReportedRun};
 use crate::direct::limits::{read_grant, write_want};
 use crate::direct::logs;
 use crate::direct::quarantine::Findings;
@@ -41,33 +41,33 @@
 pub(super) struct Link {
     addr: String,
     tx: Mutex<Option<Sender<wire::FromEntry>>>,
-    known: Mutex<Known>,
-    holds: Mutex<HashMap<u64, Held>>,
+    known: Mutex<EngineState>,
+    holds: Mutex<HashMap<u64, HoldRecord>>,
     /// Permit requests that await a reply, by id.
     permits: Mutex<HashMap<u64, Sender<Verdict>>>,
     next_id: AtomicU64,
     granted: AtomicU32,
     /// Number of connections opened so far.
     connection: AtomicU64,
-    heard: Heard,
+    heard: LinkEvents,
     since: Instant,
 }
 
 /// Receivers of an agent's messages.
 #[derive(Debug, Clone)]
-pub(super) struct Heard {
+pub(super) struct LinkEvents {
     /// Notified when the agent is live again, or its engine's state of service changes.
     pub news: Arc<Event>,
     /// Notified when the agent reports another run of the engine, that the engine drains,
     /// or another rate limit.
     pub runs: Arc<Event>,
     /// Receivers of grants and crash reports.
-    pub told: Told,
+    pub told: MessageSinks,
 }
 
 /// Receivers of the agents' grants and crash reports.
 #[derive(Debug, Clone)]
-pub(super) struct Told {
+pub(super) struct MessageSinks {
     /// Receives the grants of agents that are bucket owners.
     pub grants: Sender<Vec<Grant>>,
     /// The known crash reports.
@@ -76,35 +76,35 @@
 
 /// The identity of this entry.
 #[derive(Debug, Clone)]
-pub(super) struct Who {
+pub(super) struct EntryIdentity {
     pub vm: VmId,
     pub hall: HallId,
 }
 
 /// Time without a message after which an agent counts as unresponsive. Agents send one
 /// every 400 ms, so two are missing by then.
-const SILENCE: Duration = Duration::from_millis(900);
+const MESSAGE_TIMEOUT: Duration = Duration::from_millis(900);
 /// Time within which a running agent surely sends its first message, from the creation of
 /// the connection. Just after a start of all processes that takes 100 ms.
-const FIRST_WORD: Duration = Duration::from_millis(700);
+const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_millis(700);
 /// Time without a message after which the connection is replaced.
-const GIVE_UP: Duration = Duration::from_millis(2500);
+const RECONNECT_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Time-out for connecting, and for the agent's first reply: some tens of round trips
 /// between halls. A VM without power does not answer, and the operating system resends an
 /// unanswered connect only after a second. With that delay, after a power loss of all
 /// VMs, entries that connected too early learned of the later half of the engines 0.7 s
 /// after the first half.
-const CONNECT: Duration = Duration::from_millis(150);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 /// First and longest pause before reconnecting.
-const RECONNECT_FIRST: Duration = Duration::from_millis(60);
-const RECONNECT_MOST: Duration = Duration::from_millis(250);
+const MIN_RECONNECT_PAUSE: Duration = Duration::from_millis(60);
+const MAX_RECONNECT_PAUSE: Duration = Duration::from_millis(250);
 /// Limits the messages queued for an agent. The connection to an agent that lets more
 /// pile up is closed.
-const MAX_UNTAKEN: usize = 4096;
+const MAX_QUEUED_MESSAGES: usize = 4096;
 
 impl Link {
     /// Creates a connection to an agent that is not open yet.
-    pub fn new(addr: String, heard: Heard) -> Arc<Self> {
+    pub fn new(addr: String, heard: LinkEvents) -> Arc<Self> {
         Arc::new(Self {
             addr,
             tx: Mutex::default(),
@@ -132,10 +132,10 @@
     /// Keeps the connection open, for ever; `engine` returns the engine's declaration.
     pub async fn run(
         self: Arc<Self>,
-        who: Who,
+        who: EntryIdentity,
         engine: impl Fn() -> wire::Engine + Sync,
     ) {
-        let pool = Pool::new(1, CONNECT);
+        let pool = Pool::new(1, CONNECT_TIMEOUT);
         let mut rng = Rng::new();
         let mut failures = 0;
         loop {
@@ -147,7 +147,8 @@
                 }
                 false => failures + 1,
             };
-            let pause = backoff(RECONNECT_FIRST, RECONNECT_MOST, failures, &mut rng);
+            let pause =
+                backoff(MIN_RECONNECT_PAUSE, MAX_RECONNECT_PAUSE, failures, &mut rng);
             Timer::after(pause).await;
         }
     }
@@ -155,7 +156,7 @@
     async fn connection(
         &self,
         pool: &Pool,
-        who: &Who,
+        who: &EntryIdentity,
         engine: &(impl Fn() -> wire::Engine + Sync),
     ) -> String {
         let channel = match pool.get(&self.addr).await {
@@ -174,7 +175,7 @@
         if let Some(findings) = self.heard.told.findings.all() {
             send(&tx, Kind::Findings(findings));
         }
-        let up = match within(CONNECT, client.follow(rx)).await {
+        let up = match within(CONNECT_TIMEOUT, client.follow(rx)).await {
             Some(Ok(up)) => up,
             Some(Err(e)) => return e.to_string(),
             None => return "no answer".into(),
@@ -188,11 +189,11 @@
                 told = declared.routing_version;
                 self.say(Kind::Engine(declared));
             }
-            match within(SILENCE, down.message()).await {
+            match within(MESSAGE_TIMEOUT, down.message()).await {
                 Some(Ok(Some(message))) => self.heard(message),
                 Some(Ok(None)) => return "the agent closed the connection".into(),
                 Some(Err(e)) => return status_text(&e),
-                None if self.silent_for() > GIVE_UP => return "silent".into(),
+                None if self.silent_for() > RECONNECT_TIMEOUT => return "silent".into(),
                 None if self.silent() => self.log_lost("silent"),
                 None => {}
             }
@@ -241,7 +242,7 @@
     /// Returns whether the agent's first message is still expected. Until then the
     /// platform's list does not show what the engine holds.
     pub fn is_coming(&self) -> bool {
-        self.known.lock().heard.is_none() && self.since.elapsed() < FIRST_WORD
+        self.known.lock().heard.is_none() && self.since.elapsed() < FIRST_MESSAGE_TIMEOUT
     }
 
     /// Returns the run of the engine that the agent last reported.
@@ -249,7 +250,7 @@
     /// The agent knows a new run at once, the platform lists the run only after its first
     /// heartbeat. By the list alone, 68 entries of the large deployment sent 910 requests
     /// to the former runs of 29 engines that had been back for 1.5 to 4 s.
-    pub fn run_named(&self) -> Option<NamedRun> {
+    pub fn run_named(&self) -> Option<ReportedRun> {
         self.known.lock().run.clone()
     }
 
@@ -355,7 +356,7 @@
     }
 
     fn silent_for(&self) -> Duration {
-        self.known.lock().heard.map_or(GIVE_UP, |heard| heard.elapsed())
+        self.known.lock().heard.map_or(RECONNECT_TIMEOUT, |heard| heard.elapsed())
     }
 
     fn say(&self, kind: Kind) -> bool {
@@ -380,7 +381,7 @@
 }
 
 fn send(tx: &Sender<wire::FromEntry>, kind: Kind) -> bool {
-    if tx.len() > MAX_UNTAKEN {
+    if tx.len() > MAX_QUEUED_MESSAGES {
         tx.close();
     }
     tx.try_send(wire::FromEntry { kind: Some(kind) }).is_ok()
--- a/crates/larkspring/src/direct/entry/link/hold.rs
+++ b/crates/larkspring/src/direct/entry/link/hold.rs
@@ -22,7 +22,7 @@
 
 /// The terms of a request for a hold.
 #[derive(Debug, Clone, Copy)]
-pub(in super::super) struct Need<'a> {
+pub(in super::super) struct HoldRequest<'a> {
     /// 0 is the most urgent.
     pub priority: u32,
     /// How long the request waits for the grant.
@@ -51,7 +51,7 @@
 
 /// The connection's record of a hold.
 #[derive(Debug)]
-pub(super) struct Held {
+pub(super) struct HoldRecord {
     target: Target,
     priority: u32,
     /// The request that awaits the grant; `None` once granted.
@@ -60,7 +60,7 @@
 
 impl Link {
     /// Requests that the agent loads an adapter and keeps it loaded.
-    pub fn hold(self: &Arc<Self>, target: Target, need: Need<'_>) -> Hold {
+    pub fn hold(self: &Arc<Self>, target: Target, need: HoldRequest<'_>) -> Hold {
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         let (waiter, end) = channel::bounded(1);
         let asked = Kind::Hold(wire::Hold {
@@ -75,7 +75,7 @@
             worth: need.worth,
             in_time_ms: need.in_time.as_millis() as u64,
         });
-        let held = Held { target, priority: need.priority, waiter: Some(waiter) };
+        let held = HoldRecord { target, priority: need.priority, waiter: Some(waiter) };
         self.holds.lock().insert(id, held);
         if !self.say(asked) {
             // Drops the waiter, so that the hold ends as lost.
--- a/crates/larkspring/src/direct/entry/log.rs
+++ b/crates/larkspring/src/direct/entry/log.rs
@@ -6,7 +6,7 @@
 
 use super::answer::Reason;
 use super::job::Job;
-use super::view::Why;
+use super::view::SelectionInputs;
 use super::Inner;
 use crate::direct::edge::{CallerRequest, Kind};
 use crate::direct::logs::{self, Line};
@@ -18,7 +18,7 @@
     workspace: Option<&str>,
     reason: Reason,
     since: Instant,
-    why: Option<&Why>,
+    why: Option<&SelectionInputs>,
     content: Option<ContentHash>,
 ) {
     if logs::allows(Line::Unserved) {
--- a/crates/larkspring/src/direct/entry/mod.rs
+++ b/crates/larkspring/src/direct/entry/mod.rs
@@ -51,10 +51,10 @@
 use smol::{channel, Task, Timer};
 
 use self::directory::HallDirectory;
-use self::ends::Ends;
+use self::ends::CrashDetector;
 use self::fleet::Fleet;
 use self::limits::Limits;
-use self::link::{Told, Who};
+use self::link::{EntryIdentity, MessageSinks};
 use self::permits::Permits;
 use super::beliefs::Beliefs;
 use super::cfg::EntryCfg;
@@ -92,7 +92,7 @@
     fleet: Arc<Fleet>,
     limits: Arc<Limits>,
     permits: Permits,
-    ends: Arc<Ends>,
+    ends: Arc<CrashDetector>,
     stats: Arc<Stats>,
     repeats: Mutex<HashMap<ServiceId, RepeatWindow>>,
     /// Adapters whose preloading was requested, with the time of the request.
@@ -106,32 +106,32 @@
 /// The progress of the entry's shutdown.
 #[derive(Default)]
 pub(super) struct Stop {
-    /// 0 while the entry runs, then [`LEAVING`], [`CLOSING`] and [`ENDING`] in turn.
+    /// 0 while the entry runs, then [`DRAINING`], [`CLOSING`] and [`REFUSING`] in turn.
     stage: AtomicU8,
     connections: AtomicUsize,
     changed: Event,
 }
 
 /// Readiness checks fail; each answer closes its connection.
-const LEAVING: u8 = 1;
+const DRAINING: u8 = 1;
 /// Idle connections close, and no new connections or requests are accepted.
 const CLOSING: u8 = 2;
 /// Requests that have not been sent to an endpoint yet are refused.
-const ENDING: u8 = 3;
+const REFUSING: u8 = 3;
 
 /// How long new requests are accepted after the stop signal. The load balancer checks
 /// readiness each second and removes the entry after two failures, and connections that
 /// callers are opening still have to be served. Requests accepted later may not complete
 /// within the grace period.
-const TAKE_REQUESTS: Duration = Duration::from_millis(2500);
+const ACCEPT_AFTER_STOP: Duration = Duration::from_millis(2500);
 /// Time before the end of the grace period at which unsent requests are refused.
-const REFUSE_UNSENT: Duration = Duration::from_millis(900);
+const REFUSE_BEFORE_END: Duration = Duration::from_millis(900);
 /// Time before the end of the grace period at which the process exits by itself.
-const END_EARLY: Duration = Duration::from_millis(300);
+const EXIT_BEFORE_END: Duration = Duration::from_millis(300);
 /// Minimum interval between two preload requests for the same adapter version.
-const COPY_PAUSE: Duration = Duration::from_secs(2);
+const PRELOAD_INTERVAL: Duration = Duration::from_secs(2);
 /// Limits the number of recent preload requests that are remembered.
-const MAX_COPIES: usize = 1024;
+const MAX_RECENT_PRELOADS: usize = 1024;
 
 impl Entry {
     /// Starts an entry in the background.
@@ -142,12 +142,13 @@
     ) -> Result<Self, StartError> {
         let beliefs = Arc::new(Beliefs::default());
         let stats = Arc::new(Stats::new());
-        let who = Who { vm: cfg.process.vm.clone(), hall: cfg.process.hall.clone() };
+        let who =
+            EntryIdentity { vm: cfg.process.vm.clone(), hall: cfg.process.hall.clone() };
         let (tx, grants) = channel::unbounded();
         let findings = Arc::new(Findings::new(stats.clone()));
-        let told = Told { grants: tx, findings: findings.clone() };
+        let told = MessageSinks { grants: tx, findings: findings.clone() };
         let fleet = Fleet::new(beliefs.clone(), who, cfg.process.agent_port, told);
-        let ends = Ends::new(fleet.clone(), findings, stats.clone());
+        let ends = CrashDetector::new(fleet.clone(), findings, stats.clone());
         let terms = cfg.process.limits;
         let limits = Limits::new(terms, beliefs.clone(), fleet.clone(), grants);
         let listener = TcpListener::bind(cfg.listen).await;
@@ -211,14 +212,14 @@
         let began = Instant::now();
         tracing::info!(event = "stop", process = "entry");
         let stop = &self.inner.stop;
-        stop.enter(LEAVING);
+        stop.enter(DRAINING);
         let grace = self.inner.cfg().process.stop_grace;
-        let end = began + grace.saturating_sub(END_EARLY);
-        Timer::at((began + TAKE_REQUESTS).min(end)).await;
+        let end = began + grace.saturating_sub(EXIT_BEFORE_END);
+        Timer::at((began + ACCEPT_AFTER_STOP).min(end)).await;
         stop.enter(CLOSING);
         let ending = async {
-            Timer::at(began + grace.saturating_sub(REFUSE_UNSENT)).await;
-            stop.enter(ENDING);
+            Timer::at(began + grace.saturating_sub(REFUSE_BEFORE_END)).await;
+            stop.enter(REFUSING);
             Timer::at(end).await;
             false
         };
@@ -291,11 +292,11 @@
     fn may_copy(&self, target: TargetHash) -> bool {
         let now = Instant::now();
         let mut copies = self.copies.lock();
-        let recent = |at: &Instant| now.saturating_duration_since(*at) < COPY_PAUSE;
+        let recent = |at: &Instant| now.saturating_duration_since(*at) < PRELOAD_INTERVAL;
         if copies.get(&target).is_some_and(recent) {
             return false;
         }
-        if copies.len() >= MAX_COPIES {
+        if copies.len() >= MAX_RECENT_PRELOADS {
             copies.retain(|_, at| recent(at));
         }
         copies.insert(target, now);
@@ -304,19 +305,19 @@
 }
 
 /// How long a refused request is recognised when its caller retries it.
-const EXPECTED: Duration = Duration::from_secs(8);
+const RETRY_WINDOW: Duration = Duration::from_secs(8);
 /// Limits the number of refused requests that are remembered.
-const MAX_EXPECTED: usize = 8192;
+const MAX_RECENT_REFUSALS: usize = 8192;
 
 impl Inner {
     /// Records that a request was refused with a retry time.
     fn expect_back(&self, content: ContentHash) {
         let now = Instant::now();
         let mut refused = self.refused.lock();
-        if refused.len() >= MAX_EXPECTED {
-            refused.retain(|_, at| now.saturating_duration_since(*at) < EXPECTED);
+        if refused.len() >= MAX_RECENT_REFUSALS {
+            refused.retain(|_, at| now.saturating_duration_since(*at) < RETRY_WINDOW);
         }
-        if refused.len() < MAX_EXPECTED {
+        if refused.len() < MAX_RECENT_REFUSALS {
             refused.insert(content, now);
         }
     }
@@ -324,7 +325,7 @@
     /// Returns whether a request is the retry of a recently refused one, and forgets it.
     fn is_back(&self, content: ContentHash) -> bool {
         let at = self.refused.lock().remove(&content);
-        at.is_some_and(|at| at.elapsed() < EXPECTED)
+        at.is_some_and(|at| at.elapsed() < RETRY_WINDOW)
     }
 }
 
@@ -339,7 +340,7 @@
     }
 
     fn is_leaving(&self) -> bool {
-        self.is_past(LEAVING)
+        self.is_past(DRAINING)
     }
 
     fn is_closing(&self) -> bool {
@@ -351,9 +352,9 @@
         self.wait(CLOSING).await;
     }
 
-    /// Waits until shutdown reaches the stage [`ENDING`].
+    /// Waits until shutdown reaches the stage [`REFUSING`].
     async fn ending(&self) {
-        self.wait(ENDING).await;
+        self.wait(REFUSING).await;
     }
 
     async fn wait(&self, stage: u8) {
--- a/crates/larkspring/src/direct/entry/notices.rs
+++ b/crates/larkspring/src/direct/entry/notices.rs
@@ -5,7 +5,7 @@
 
 use http::response::Parts;
 
-use super::fleet::Source;
+use super::fleet::NoticeSource;
 use super::job::Job;
 use super::peer::Peer;
 use crate::direct::edge::{AnswerHead, Echo};
@@ -40,6 +40,11 @@
         let notice = if is_sure { notice } else { notice.without_silence() };
         self.entry.stats.notice(notice);
         let (request, status) = (&*self.caller.id, head.status.as_u16());
-        self.entry.fleet.hear(peer, asked, notice, Source::Answer { request, status });
+        self.entry.fleet.hear(
+            peer,
+            asked,
+            notice,
+            NoticeSource::Answer { request, status },
+        );
     }
 }
--- a/crates/larkspring/src/direct/entry/peer.rs
+++ b/crates/larkspring/src/direct/entry/peer.rs
@@ -15,7 +15,7 @@
 use larkspring_core::ids::{ContentHash, TargetHash};
 use parking_lot::Mutex;
 
-use super::known::NamedRun;
+use super::known::ReportedRun;
 use super::link::Link;
 use crate::direct::conn::Conn;
 use crate::direct::edge::{ModelRequest, PromptPart, RequestId};
@@ -39,16 +39,16 @@
     /// Until when the endpoint counts as gone, after another run answered at its address.
     gone_until: Mutex<Option<Instant>>,
     quality: Mutex<Quality>,
-    read: Mutex<ReadParts>,
+    read: Mutex<CachedParts>,
     /// Until when answers to other requests are to be expected on the connections.
     garbles_until: Mutex<Option<Instant>>,
     /// Interrupted requests, kept until it is known whether the endpoint crashed.
-    broken: Mutex<Vec<BrokenOff>>,
+    broken: Mutex<Vec<InterruptedRequest>>,
 }
 
 /// A request whose connection to an endpoint broke before the answer was complete.
 #[derive(Debug)]
-pub(super) struct BrokenOff {
+pub(super) struct InterruptedRequest {
     pub content: ContentHash,
     pub id: RequestId,
     /// When the request was sent.
@@ -57,7 +57,7 @@
 }
 
 /// Counts a request at an endpoint until dropped.
-pub(super) struct Open {
+pub(super) struct OpenRequest {
     pub peer: Arc<Peer>,
     /// Prompt tokens of the request that count as being in prefill.
     reading: AtomicU32,
@@ -65,29 +65,29 @@
 
 /// Prompt parts that the endpoint has prefilled for this entry, the latest last.
 #[derive(Default)]
-struct ReadParts(VecDeque<u64>);
+struct CachedParts(VecDeque<u64>);
 
 /// Limits the prompt parts remembered for each endpoint, whose cache holds a few dozen
 /// prompts.
-const MAX_READ_PARTS: usize = 64;
+const MAX_CACHED_PARTS: usize = 64;
 /// Fraction of the endpoint's keep-alive time after which an idle connection is not
 /// reused, so that the endpoint does not close it while a request is on its way.
-const RESTED_PART: f64 = 0.5;
+const IDLE_FRACTION: f64 = 0.5;
 /// Idle limit of a connection whose endpoint names no keep-alive time.
-const RESTED_UNSAID: Duration = Duration::from_millis(1500);
+const DEFAULT_IDLE_LIMIT: Duration = Duration::from_millis(1500);
 /// Idle limit of a connection for a request that must not run twice. An endpoint may drop
 /// an idle connection without closing it; the request's outcome would then be unclear.
-const RESTED_ONCE: Duration = Duration::from_millis(500);
+const RUN_ONCE_IDLE_LIMIT: Duration = Duration::from_millis(500);
 /// Limits the number of idle connections to an endpoint.
-const MAX_RESTED: usize = 32;
+const MAX_IDLE_CONNECTIONS: usize = 32;
 /// How long an endpoint counts as gone after another run answered at its address. By then
 /// the platform lists the other run.
-const GONE_FOR: Duration = Duration::from_secs(4);
+const GONE_TIMEOUT: Duration = Duration::from_secs(4);
 /// How long an advertised rate limit counts as certain if no answer repeats it.
-const SURELY_RATED: Duration = Duration::from_secs(5);
+const RATE_CERTAINTY_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long requests that must not run twice get new connections after an answer to
 /// another request came on a connection.
-const GARBLES_FOR: Duration = Duration::from_secs(3);
+const CORRUPTION_TIMEOUT: Duration = Duration::from_secs(3);
 
 impl Peer {
     /// Creates the record of an endpoint with its earlier availability.
@@ -155,7 +155,7 @@
     pub fn is_surely_rated(&self) -> bool {
         let Some(limit) = self.rate_limit() else { return false };
         let by_agent = self.link.as_ref().is_some_and(|link| link.names_rate());
-        by_agent || limit.told_at().elapsed() < SURELY_RATED
+        by_agent || limit.told_at().elapsed() < RATE_CERTAINTY_TIMEOUT
     }
 
     /// Records that the endpoint's rate is used up for the time `wait`.
@@ -220,7 +220,7 @@
 
     /// Returns the run that has replaced this one at its address, as reported by the
     /// agent.
-    pub fn followed_by(&self) -> Option<NamedRun> {
+    pub fn followed_by(&self) -> Option<ReportedRun> {
         let run = self.link.as_ref()?.run_named()?;
         (run.id != self.endpoint.load().id && run.since > self.since).then_some(run)
     }
@@ -235,19 +235,19 @@
 
     /// Records that another run answered at the address.
     pub fn is_gone(&self) {
-        *self.gone_until.lock() = Some(Instant::now() + GONE_FOR);
+        *self.gone_until.lock() = Some(Instant::now() + GONE_TIMEOUT);
     }
 
     /// Records an interrupted request; returns whether it is the first since
     /// [`Peer::take_broken`].
-    pub fn broke(&self, request: BrokenOff) -> bool {
+    pub fn broke(&self, request: InterruptedRequest) -> bool {
         let mut broken = self.broken.lock();
         broken.push(request);
         broken.len() == 1
     }
 
     /// Takes the recorded interrupted requests.
-    pub fn take_broken(&self) -> Vec<BrokenOff> {
+    pub fn take_broken(&self) -> Vec<InterruptedRequest> {
         std::mem::take(&mut *self.broken.lock())
     }
 
@@ -263,9 +263,9 @@
     }
 
     /// Counts a request as open until the result is dropped.
-    pub fn enter(self: &Arc<Self>) -> Open {
+    pub fn enter(self: &Arc<Self>) -> OpenRequest {
         self.open.fetch_add(1, Ordering::Relaxed);
-        Open { peer: self.clone(), reading: AtomicU32::new(0) }
+        OpenRequest { peer: self.clone(), reading: AtomicU32::new(0) }
     }
 
     /// Returns the prompt tokens of this entry's requests that are in prefill.
@@ -309,7 +309,7 @@
         }
         conn.rested_since = Instant::now();
         let mut rested = self.rested.lock();
-        if rested.len() < MAX_RESTED {
+        if rested.len() < MAX_IDLE_CONNECTIONS {
             rested.push(conn);
         }
     }
@@ -325,7 +325,7 @@
     /// Records that an answer to another request came on one of the connections, and
     /// closes the idle ones.
     pub fn garbled(&self) {
-        *self.garbles_until.lock() = Some(Instant::now() + GARBLES_FOR);
+        *self.garbles_until.lock() = Some(Instant::now() + CORRUPTION_TIMEOUT);
         self.rested.lock().clear();
     }
 
@@ -351,7 +351,7 @@
     }
 }
 
-impl Open {
+impl OpenRequest {
     /// Counts tokens of the prompt as in prefill until the answer begins.
     pub fn reads(&self, tokens: u32) {
         self.reading.fetch_add(tokens, Ordering::Relaxed);
@@ -365,14 +365,14 @@
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenRequest {
     fn drop(&mut self) {
         self.has_read();
         self.peer.open.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-impl ReadParts {
+impl CachedParts {
     fn contains(&self, target: TargetHash, part: &PromptPart) -> bool {
         self.0.contains(&(target ^ part.id))
     }
@@ -380,7 +380,7 @@
     fn add(&mut self, target: TargetHash, part: &PromptPart) {
         let key = target ^ part.id;
         self.0.retain(|k| *k != key);
-        if self.0.len() >= MAX_READ_PARTS {
+        if self.0.len() >= MAX_CACHED_PARTS {
             self.0.pop_front();
         }
         self.0.push_back(key);
@@ -388,10 +388,10 @@
 }
 
 fn rest_limit(conn: &Conn, once: bool) -> Duration {
-    let said = conn.keep_alive.map(|kept| kept.mul_f64(RESTED_PART));
-    let limit = said.unwrap_or(RESTED_UNSAID);
+    let said = conn.keep_alive.map(|kept| kept.mul_f64(IDLE_FRACTION));
+    let limit = said.unwrap_or(DEFAULT_IDLE_LIMIT);
     if once {
-        limit.min(RESTED_ONCE)
+        limit.min(RUN_ONCE_IDLE_LIMIT)
     } else {
         limit
     }
--- a/crates/larkspring/src/direct/entry/permits.rs
+++ b/crates/larkspring/src/direct/entry/permits.rs
@@ -29,20 +29,20 @@
 }
 
 /// The outcome of a request for a permit.
-pub(super) enum Leave {
+pub(super) enum PermitOutcome {
     /// The run has no rate limit.
-    Free,
+    Unlimited,
     /// The request may be sent under this permit.
-    With(Permit),
+    Granted(Permit),
     /// The rate is used up for this time.
-    UsedUp(Duration),
+    Denied(Duration),
 }
 
 /// How long an agent that did not reply gets no requests.
-const PASSED_OVER: Duration = Duration::from_secs(1);
+const SKIP_DURATION: Duration = Duration::from_secs(1);
 /// How long no request is sent to a run if no issuer replies: about the time in which a
 /// killed agent restarts.
-const NOBODY: Duration = Duration::from_millis(250);
+const NO_ISSUER_PAUSE: Duration = Duration::from_millis(250);
 
 impl Permits {
     /// Creates a client without requests.
@@ -51,10 +51,10 @@
     }
 
     /// Requests a permit to send a request to an endpoint.
-    pub async fn ask(&self, peer: &Peer) -> Leave {
+    pub async fn ask(&self, peer: &Peer) -> PermitOutcome {
         let now = Instant::now();
-        let Some(limit) = peer.rate_limit() else { return Leave::Free };
-        let Some(rate) = limit.in_force(now) else { return Leave::Free };
+        let Some(limit) = peer.rate_limit() else { return PermitOutcome::Unlimited };
+        let Some(rate) = limit.in_force(now) else { return PermitOutcome::Unlimited };
         let ask = Ask {
             run: run_hash(&peer.endpoint().id),
             rate,
@@ -68,9 +68,9 @@
             None => "unanswered",
         });
         match verdict {
-            Some(Verdict::Granted) => Leave::With(Permit::new()),
-            Some(Verdict::Denied(wait)) => Leave::UsedUp(wait),
-            None => Leave::UsedUp(NOBODY),
+            Some(Verdict::Granted) => PermitOutcome::Granted(Permit::new()),
+            Some(Verdict::Denied(wait)) => PermitOutcome::Denied(wait),
+            None => PermitOutcome::Denied(NO_ISSUER_PAUSE),
         }
     }
 
@@ -97,7 +97,7 @@
         }
         let verdict = link.permit(ask).await;
         if verdict.is_none() {
-            let until = Instant::now() + PASSED_OVER;
+            let until = Instant::now() + SKIP_DURATION;
             self.passed_over.lock().push((link.addr().into(), until));
         }
         verdict
--- a/crates/larkspring/src/direct/entry/place.rs
+++ b/crates/larkspring/src/direct/entry/place.rs
@@ -15,36 +15,36 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::answer::{after_rest, Reason};
-use super::attempt::Placed;
+use super::attempt::Selection;
 use super::job::Job;
-use super::link::{HoldEnd, Need};
+use super::link::{HoldEnd, HoldRequest};
 use super::peer::Peer;
-use super::permits::{Leave, Permit};
-use super::view::{holding_name, Why};
+use super::permits::{Permit, PermitOutcome};
+use super::view::{holding_name, SelectionInputs};
 use crate::direct::edge::ModelRequest;
 use crate::direct::logs::{self, Line};
 use crate::exec::within;
 
 /// The reason why no endpoint was selected, and when the caller may retry.
-pub(super) type NotPlaced = (Reason, Option<Duration>);
+pub(super) type NoSelection = (Reason, Option<Duration>);
 
 /// Assumed response time of a plain service without recorded answers; calls of the
 /// deployed services take about 30 ms.
-const FIRST_ANSWER: Duration = Duration::from_millis(30);
+const DEFAULT_RESPONSE_TIME: Duration = Duration::from_millis(30);
 /// Time left below which a request is not sent, since no answer could come in time.
-const LEAST_LEFT: Duration = Duration::from_millis(20);
+const MIN_TIME_LEFT: Duration = Duration::from_millis(20);
 /// Priority of preloading an adapter: the lowest.
-const COPY_PRIORITY: u32 = 9;
+const PRELOAD_PRIORITY: u32 = 9;
 /// How long preloading may wait for an adapter slot.
-const COPY_WAIT: Duration = Duration::from_secs(5);
+const PRELOAD_TIMEOUT: Duration = Duration::from_secs(5);
 /// Time-out for an agent's grant of an adapter that is resident: a few round trips
 /// between halls and a scheduling delay of a busy process. An agent that takes longer may
 /// be frozen or cut off.
-const GRANT: Duration = Duration::from_millis(80);
+const GRANT_TIMEOUT: Duration = Duration::from_millis(80);
 /// Limits the number of permit denials before a request is refused.
-const MAX_DENIALS: u32 = 8;
+const MAX_PERMIT_DENIALS: u32 = 8;
 /// Limits the number of endpoints at which holds are requested, one after the other.
-const MAX_HOLDS: u32 = 3;
+const MAX_HOLD_REQUESTS: u32 = 3;
 
 impl Job {
     /// Selects an endpoint and waits until the endpoint can take the request.
@@ -52,7 +52,7 @@
     /// If no endpoint is available, waits for the duration of [`Job::patience`]. If all
     /// are in backoff or have used up their rates, refuses the request at once unless the
     /// first becomes available within the latency objective.
-    pub(super) async fn place(&mut self) -> Result<Placed, NotPlaced> {
+    pub(super) async fn place(&mut self) -> Result<Selection, NoSelection> {
         let mut denials = 0;
         loop {
             let news = self.entry.fleet.news();
@@ -63,7 +63,7 @@
             match &placed {
                 Ok(placed) => self.why = Some(placed.why.clone()),
                 // The next selection leaves out the endpoint whose rate is used up.
-                Err((Reason::UsedUp, _)) if denials < MAX_DENIALS => {
+                Err((Reason::RateUsedUp, _)) if denials < MAX_PERMIT_DENIALS => {
                     denials += 1;
                     continue;
                 }
@@ -72,7 +72,7 @@
             let Err((Reason::NoEndpoint, _)) = placed else { return placed };
             if let Some(back) = self.entry.fleet.first_back(&self.service.name) {
                 if back > self.patience_with_rest() {
-                    return Err((Reason::Resting, Some(after_rest(back))));
+                    return Err((Reason::InBackoff, Some(after_rest(back))));
                 }
                 // Waits for the end of the backoff or for a change of the fleet.
                 within(back, news).await;
@@ -87,23 +87,23 @@
 
     /// Requests a permit for the selected endpoint if it is rate-limited and there is
     /// none.
-    async fn permitted(&self, placed: Placed) -> Result<Placed, NotPlaced> {
+    async fn permitted(&self, placed: Selection) -> Result<Selection, NoSelection> {
         if placed.permit.is_some_and(|permit| permit.holds()) {
             return Ok(placed);
         }
         let permit = self.permit(&placed.open.peer).await?;
-        Ok(Placed { permit, ..placed })
+        Ok(Selection { permit, ..placed })
     }
 
     /// Requests a permit to send to an endpoint; `None` if the endpoint has no rate
     /// limit.
-    async fn permit(&self, peer: &Peer) -> Result<Option<Permit>, NotPlaced> {
+    async fn permit(&self, peer: &Peer) -> Result<Option<Permit>, NoSelection> {
         match self.entry.permits.ask(peer).await {
-            Leave::Free => Ok(None),
-            Leave::With(permit) => Ok(Some(permit)),
-            Leave::UsedUp(wait) => {
+            PermitOutcome::Unlimited => Ok(None),
+            PermitOutcome::Granted(permit) => Ok(Some(permit)),
+            PermitOutcome::Denied(wait) => {
                 peer.is_used_up(wait);
-                Err((Reason::UsedUp, Some(after_rest(wait))))
+                Err((Reason::RateUsedUp, Some(after_rest(wait))))
             }
         }
     }
@@ -117,9 +117,9 @@
         }
     }
 
-    async fn try_place(&mut self) -> Result<Placed, NotPlaced> {
-        if self.left() < LEAST_LEFT {
-            return Err((Reason::LateNotRun, None));
+    async fn try_place(&mut self) -> Result<Selection, NoSelection> {
+        if self.left() < MIN_TIME_LEFT {
+            return Err((Reason::TimedOutNotRun, None));
         }
         let model = self.caller.model.clone();
         let engine = self.service.engine.clone();
@@ -132,12 +132,12 @@
         }
     }
 
-    fn place_any(&self) -> Result<Placed, NotPlaced> {
+    fn place_any(&self) -> Result<Selection, NoSelection> {
         let peers = self.open_peers();
         let now = Instant::now();
         let views: Vec<_> = peers.iter().map(|p| self.plain_view(now, p)).collect();
         let times = peers.iter().map(|p| p.quality(|q| q.time()));
-        let time = times.max().filter(|t| !t.is_zero()).unwrap_or(FIRST_ANSWER);
+        let time = times.max().filter(|t| !t.is_zero()).unwrap_or(DEFAULT_RESPONSE_TIME);
         let chosen = match self.entry.cfg().placement {
             Placement::Random => choose_random(&views),
             Placement::Least => least_running(&views),
@@ -152,7 +152,7 @@
         &self,
         model: &ModelRequest,
         engine: &Engine,
-    ) -> Result<Placed, NotPlaced> {
+    ) -> Result<Selection, NoSelection> {
         let base = xxh3_64(model.base.as_bytes());
         let now = Instant::now();
         let view = |p: &Arc<Peer>| {
@@ -178,11 +178,11 @@
         model: &ModelRequest,
         adapter: &AdapterId,
         engine: &Engine,
-    ) -> Result<Placed, NotPlaced> {
-        let mut last: NotPlaced = (Reason::NoEndpoint, None);
+    ) -> Result<Selection, NoSelection> {
+        let mut last: NoSelection = (Reason::NoEndpoint, None);
         let mut passed_over = Vec::new();
         let mut holds = 0;
-        while holds < MAX_HOLDS {
+        while holds < MAX_HOLD_REQUESTS {
             let Some(choice) = self.choose(model, adapter, engine, &passed_over) else {
                 break;
             };
@@ -193,14 +193,14 @@
                 Ok(permit) => {
                     holds += 1;
                     match self.hold(choice, model).await {
-                        Ok(placed) => return Ok(Placed { permit, ..placed }),
+                        Ok(placed) => return Ok(Selection { permit, ..placed }),
                         Err(Some(refused)) => last = refused,
                         Err(None) => {}
                     }
                 }
                 Err(refused) => last = refused,
             }
-            if self.left() < LEAST_LEFT {
+            if self.left() < MIN_TIME_LEFT {
                 break;
             }
         }
@@ -211,26 +211,26 @@
     /// carries the time after which the caller may retry.
     async fn hold(
         &mut self,
-        choice: Choice,
+        choice: AdapterSelection,
         model: &ModelRequest,
-    ) -> Result<Placed, Option<NotPlaced>> {
-        let Choice { peer, target, agent, why } = choice;
+    ) -> Result<Selection, Option<NoSelection>> {
+        let AdapterSelection { peer, target, agent, why } = choice;
         let hash = target.hash();
         let unread_tokens = why.unread_tokens;
         let in_time = self.in_time(&why);
         let open = peer.enter();
-        let placed = |open, hold| Placed::new(open, Some(target.clone()), why, hold);
+        let placed = |open, hold| Selection::new(open, Some(target.clone()), why, hold);
         let link = peer.link.as_ref().filter(|_| agent);
         let Some(link) = link else {
             peer.reads(hash, model);
             return Ok(placed(open, None));
         };
         let asked = Instant::now();
-        let limit = self.left().saturating_sub(LEAST_LEFT);
+        let limit = self.left().saturating_sub(MIN_TIME_LEFT);
         let was = link.holding(hash);
         let resident = was == Some(Holding::Resident);
-        let patience = if resident { limit.min(GRANT) } else { limit };
-        let need = Need {
+        let patience = if resident { limit.min(GRANT_TIMEOUT) } else { limit };
+        let need = HoldRequest {
             priority: self.rank(),
             wait: limit,
             request: &self.caller.id,
@@ -295,7 +295,7 @@
 
     /// Returns the load time within which the answer can still begin within the
     /// objective.
-    fn in_time(&self, why: &Why) -> Duration {
+    fn in_time(&self, why: &SelectionInputs) -> Duration {
         let unread = why.reading_tokens + why.unread_tokens;
         self.objective_left().saturating_sub(reading_time(unread))
     }
@@ -312,7 +312,7 @@
         adapter: &AdapterId,
         engine: &Engine,
         passed_over: &[Incarnation],
-    ) -> Option<Choice> {
+    ) -> Option<AdapterSelection> {
         let now = Instant::now();
         let versions = self.entry.beliefs.versions();
         let newest = versions.newest(adapter);
@@ -348,8 +348,8 @@
             Placement::Least => least_running(&views)?,
         };
         let agent = views[at].can_load;
-        let why = Why::new(&peers[at], &views, at);
-        Some(Choice { peer: peers[at].clone(), target, agent, why })
+        let why = SelectionInputs::new(&peers[at], &views, at);
+        Some(AdapterSelection { peer: peers[at].clone(), target, agent, why })
     }
 
     /// Selects among the endpoints that hold the previous version, while it is allowed.
@@ -360,7 +360,7 @@
         version: VersionId,
         model: &ModelRequest,
         engine: &Engine,
-    ) -> Option<Choice> {
+    ) -> Option<AdapterSelection> {
         let now = Instant::now();
         let target = Target { adapter: adapter.clone(), version };
         let hash = target.hash();
@@ -375,8 +375,13 @@
             .map(|v| if holds(v) { *v } else { View { can_load: false, ..*v } })
             .collect();
         let at = for_adapter(&open, self.entry.cfg().without)?;
-        let why = Why::new(&peers[at], &views, at);
-        Some(Choice { peer: peers[at].clone(), target, agent: views[at].can_load, why })
+        let why = SelectionInputs::new(&peers[at], &views, at);
+        Some(AdapterSelection {
+            peer: peers[at].clone(),
+            target,
+            agent: views[at].can_load,
+            why,
+        })
     }
 
     /// Preloads an adapter at the endpoint that would be selected for its new version.
@@ -422,18 +427,18 @@
         let Some(link) = link.filter(|_| self.entry.may_copy(target.hash())) else {
             return;
         };
-        let need = Need {
-            priority: COPY_PRIORITY,
-            wait: COPY_WAIT,
+        let need = HoldRequest {
+            priority: PRELOAD_PRIORITY,
+            wait: PRELOAD_TIMEOUT,
             request: "",
             unread_tokens: 0,
             worth: worth::OF_COPY,
-            in_time: COPY_WAIT,
+            in_time: PRELOAD_TIMEOUT,
         };
         let mut hold = link.hold(target.clone(), need);
         let stats = self.entry.stats.clone();
         crate::exec::spawn(async move {
-            let end = within(COPY_WAIT, hold.granted()).await;
+            let end = within(PRELOAD_TIMEOUT, hold.granted()).await;
             let granted = end.is_some_and(|end| end.is_granted());
             stats.hold(if granted { "copied" } else { "not copied" });
         })
@@ -454,12 +459,12 @@
         peers: &[Arc<Peer>],
         views: &[View],
         at: Option<usize>,
-    ) -> Result<Placed, NotPlaced> {
+    ) -> Result<Selection, NoSelection> {
         let Some(at) = at else {
             return Err((Reason::NoEndpoint, None));
         };
-        let why = Why::new(&peers[at], views, at);
-        Ok(Placed::new(peers[at].enter(), None, why, None))
+        let why = SelectionInputs::new(&peers[at], views, at);
+        Ok(Selection::new(peers[at].enter(), None, why, None))
     }
 
     fn log_hold(&self, peer: &Peer, reason: &str, took: Duration) {
@@ -476,12 +481,12 @@
 }
 
 /// A selected endpoint and the adapter version that it has to hold.
-struct Choice {
+struct AdapterSelection {
     peer: Arc<Peer>,
     target: Target,
     /// Whether a hold is requested from the endpoint's agent first.
     agent: bool,
-    why: Why,
+    why: SelectionInputs,
 }
 
 fn choose_random(views: &[View]) -> Option<usize> {
--- a/crates/larkspring/src/direct/entry/relay.rs
+++ b/crates/larkspring/src/direct/entry/relay.rs
@@ -19,8 +19,8 @@
 
 use super::answer::RelayError;
 use super::attempt::OpenAnswer;
-use super::ends::Ends;
-use super::events::Events;
+use super::ends::CrashDetector;
+use super::events::EventSplitter;
 use super::job::Job;
 use super::Inner;
 use crate::direct::conn::cause_of;
@@ -30,22 +30,22 @@
 pub(super) struct Relay {
     /// The request, kept if the stream may be resumed at another endpoint.
     job: Option<Box<Job>>,
-    ends: Arc<Ends>,
+    ends: Arc<CrashDetector>,
     id: String,
     content: ContentHash,
     /// The run whose answer is relayed.
     endpoint: Incarnation,
-    from: From,
+    from: AnswerSource,
     /// Splits the stream into whole events, if the stream may be resumed.
-    events: Option<Events>,
+    events: Option<EventSplitter>,
     deadline: Timer,
     sent: u64,
     is_success: bool,
-    pauses: Pauses,
+    pauses: LongestPause,
 }
 
 /// The longest pause between two chunks for the caller, recorded when the answer is over.
-struct Pauses {
+struct LongestPause {
     entry: Arc<Inner>,
     route: Arc<Route>,
     last: Instant,
@@ -53,11 +53,11 @@
 }
 
 /// The source of the bytes.
-enum From {
+enum AnswerSource {
     Endpoint(Box<OpenAnswer>),
     /// The stream was interrupted and is being resumed at another endpoint.
     Resuming(Resume),
-    Over,
+    Ended,
 }
 
 type Resume = Pin<Box<dyn Future<Output = Option<(Box<Job>, OpenAnswer)>> + Send>>;
@@ -65,18 +65,18 @@
 impl Relay {
     /// Creates the relay of an answer; a resumable stream is relayed in whole events.
     pub fn new(job: Job, open: OpenAnswer, resumable: bool, is_success: bool) -> Self {
-        let events = resumable.then(|| Events::after(job.resume_after.clone()));
+        let events = resumable.then(|| EventSplitter::after(job.resume_after.clone()));
         Self {
             ends: job.entry.ends.clone(),
             id: job.caller.id.clone(),
             content: job.content,
             endpoint: open.placed.open.peer.endpoint().id.clone(),
-            from: From::Endpoint(Box::new(open)),
+            from: AnswerSource::Endpoint(Box::new(open)),
             events,
             deadline: Timer::at(job.deadline),
             sent: 0,
             is_success,
-            pauses: Pauses::new(&job),
+            pauses: LongestPause::new(&job),
             // Frees the request's body, which only a resumed stream needs again.
             job: resumable.then(|| Box::new(job)),
         }
@@ -84,14 +84,14 @@
 
     /// Returns whether the relay has ended.
     pub fn is_over(&self) -> bool {
-        matches!(self.from, From::Over)
+        matches!(self.from, AnswerSource::Ended)
     }
 
     /// Returns the length of the remaining bytes, if known.
     pub fn size_hint(&self) -> SizeHint {
         match (&self.from, &self.events) {
-            (From::Endpoint(open), None) => open.body.size_hint(),
-            (From::Over, _) => SizeHint::with_exact(0),
+            (AnswerSource::Endpoint(open), None) => open.body.size_hint(),
+            (AnswerSource::Ended, _) => SizeHint::with_exact(0),
             _ => SizeHint::default(),
         }
     }
@@ -102,18 +102,18 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Bytes, RelayError>>> {
         if Pin::new(&mut self.deadline).poll(cx).is_ready() {
-            self.from = From::Over;
+            self.from = AnswerSource::Ended;
             self.log("out of time");
-            return Poll::Ready(Some(Err(RelayError::Late)));
+            return Poll::Ready(Some(Err(RelayError::TimedOut)));
         }
         loop {
             let next = match &mut self.from {
-                From::Over => return Poll::Ready(None),
-                From::Resuming(resume) => {
+                AnswerSource::Ended => return Poll::Ready(None),
+                AnswerSource::Resuming(resume) => {
                     let resumed = ready!(resume.as_mut().poll(cx));
                     self.go_on(resumed)
                 }
-                From::Endpoint(_) => ready!(self.poll_endpoint(cx)),
+                AnswerSource::Endpoint(_) => ready!(self.poll_endpoint(cx)),
             };
             match next {
                 Step::Data(data) if data.is_empty() => {}
@@ -122,20 +122,20 @@
                     self.pauses.note();
                     return Poll::Ready(Some(Ok(data)));
                 }
-                Step::Again => {}
+                Step::Continue => {}
                 Step::End => return Poll::Ready(None),
-                Step::Broken(cause) => {
-                    self.from = From::Over;
+                Step::Interrupted(cause) => {
+                    self.from = AnswerSource::Ended;
                     self.log(&cause);
-                    return Poll::Ready(Some(Err(RelayError::Broken(cause))));
+                    return Poll::Ready(Some(Err(RelayError::Interrupted(cause))));
                 }
             }
         }
     }
 
     fn poll_endpoint(&mut self, cx: &mut Context<'_>) -> Poll<Step> {
-        let From::Endpoint(open) = &mut self.from else {
-            return Poll::Ready(Step::Again);
+        let AnswerSource::Endpoint(open) = &mut self.from else {
+            return Poll::Ready(Step::Continue);
         };
         open.conn.drive(cx);
         let frame = ready!(Pin::new(&mut open.body).poll_frame(cx));
@@ -145,7 +145,7 @@
                     Some(events) => events.push(&data),
                     None => data,
                 }),
-                Err(_) => Step::Again,
+                Err(_) => Step::Continue,
             },
             Some(Err(e)) => self.broken(&cause_of(&e)),
             None => self.ended(cx),
@@ -154,7 +154,9 @@
 
     /// Handles the regular end of the endpoint's answer.
     fn ended(&mut self, cx: &mut Context<'_>) -> Step {
-        let From::Endpoint(open) = std::mem::replace(&mut self.from, From::Over) else {
+        let AnswerSource::Endpoint(open) =
+            std::mem::replace(&mut self.from, AnswerSource::Ended)
+        else {
             return Step::End;
         };
         let peer = open.placed.open.peer.clone();
@@ -162,7 +164,7 @@
         if self.is_success {
             self.ends.answered(self.content);
         }
-        match self.events.as_mut().map(Events::rest) {
+        match self.events.as_mut().map(EventSplitter::rest) {
             Some(rest) if !rest.is_empty() => Step::Data(rest),
             _ => Step::End,
         }
@@ -170,15 +172,18 @@
 
     /// Handles an interrupted answer: resumes the stream at another endpoint if allowed.
     fn broken(&mut self, cause: &str) -> Step {
-        let from = std::mem::replace(&mut self.from, From::Over);
-        if let From::Endpoint(open) = &from {
+        let from = std::mem::replace(&mut self.from, AnswerSource::Ended);
+        if let AnswerSource::Endpoint(open) = &from {
             let placed = &open.placed;
             self.ends.broke(&placed.open.peer, self.content, &self.id, placed.began);
         }
-        let (From::Endpoint(open), Some(events)) = (from, self.events.as_mut()) else {
-            return Step::Broken(cause.into());
+        let (AnswerSource::Endpoint(open), Some(events)) = (from, self.events.as_mut())
+        else {
+            return Step::Interrupted(cause.into());
+        };
+        let Some(mut job) = self.job.take() else {
+            return Step::Interrupted(cause.into());
         };
-        let Some(mut job) = self.job.take() else { return Step::Broken(cause.into()) };
         let peer = open.placed.open.peer.clone();
         // Closes the connection before the stream is resumed at another endpoint.
         drop(open);
@@ -186,7 +191,7 @@
         job.resume_after = events.last.clone();
         peer.quality(|q| q.bad(Instant::now()));
         if job.after(AttemptEnd::Unclear, &peer) != Next::Elsewhere {
-            return Step::Broken(cause.into());
+            return Step::Interrupted(cause.into());
         }
         if logs::allows(Line::Attempt) {
             let last = job.resume_after.as_deref();
@@ -199,18 +204,18 @@
                 last,
             );
         }
-        self.from = From::Resuming(Box::pin(resume(job)));
-        Step::Again
+        self.from = AnswerSource::Resuming(Box::pin(resume(job)));
+        Step::Continue
     }
 
     fn go_on(&mut self, resumed: Option<(Box<Job>, OpenAnswer)>) -> Step {
         let Some((job, open)) = resumed else {
-            return Step::Broken("no other endpoint resumed the stream".into());
+            return Step::Interrupted("no other endpoint resumed the stream".into());
         };
         self.job = Some(job);
         self.endpoint = open.placed.open.peer.endpoint().id.clone();
-        self.from = From::Endpoint(Box::new(open));
-        Step::Again
+        self.from = AnswerSource::Endpoint(Box::new(open));
+        Step::Continue
     }
 
     fn log(&self, cause: &str) {
@@ -228,7 +233,7 @@
     }
 }
 
-impl Pauses {
+impl LongestPause {
     fn new(job: &Job) -> Self {
         let (entry, route) = (job.entry.clone(), job.route.clone());
         Self { entry, route, last: Instant::now(), longest: Duration::ZERO }
@@ -241,7 +246,7 @@
     }
 }
 
-impl Drop for Pauses {
+impl Drop for LongestPause {
     fn drop(&mut self) {
         self.entry.stats.pause(&self.route.name, self.longest);
     }
@@ -249,9 +254,9 @@
 
 enum Step {
     Data(Bytes),
-    Again,
+    Continue,
     End,
-    Broken(String),
+    Interrupted(String),
 }
 
 /// Resumes a stream at another endpoint.
--- a/crates/larkspring/src/direct/entry/serve.rs
+++ b/crates/larkspring/src/direct/entry/serve.rs
@@ -31,10 +31,10 @@
 /// Pause after a failed accept, for example when file descriptors run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 /// Minimum buffer size that hyper accepts, in bytes.
-const LEAST_BUFFER: usize = 8 * 1024;
+const MIN_BUFFER: usize = 8 * 1024;
 /// Time-out for sending the response to a slow head.
-const LAST_WORDS: Duration = Duration::from_millis(500);
-const SLOW_HEAD: &[u8] = b"HTTP/1.1 408 Request Timeout\r\n\
+const SLOW_HEAD_TIMEOUT: Duration = Duration::from_millis(500);
+const SLOW_HEAD_RESPONSE: &[u8] = b"HTTP/1.1 408 Request Timeout\r\n\
     content-length: 0\r\nconnection: close\r\n\r\n";
 
 /// Accepts connections until shutdown reaches the closing stage.
@@ -73,32 +73,32 @@
     since: Mutex<Instant>,
 }
 
-const RESTING: u8 = 0;
+const IDLE: u8 = 0;
 const HEAD: u8 = 1;
 const SERVING: u8 = 2;
 
 /// The reason why a connection is ended.
-enum Bound {
-    Rested,
+enum ConnectionEnd {
+    Idle,
     SlowHead,
     Closing,
 }
 
 async fn serve(sock: TcpStream, entry: Arc<Inner>) {
-    let _counted = Counted::new(&entry);
+    let _counted = ConnectionCount::new(&entry);
     let _ = sock.set_nodelay(true);
     let phase = Arc::new(Phase::new());
-    let io = FuturesIo::new(Timed { sock, phase: phase.clone() });
+    let io = FuturesIo::new(TimedSocket { sock, phase: phase.clone() });
     let (served, at) = (entry.clone(), phase.clone());
     let service = service_fn(move |req| {
         at.set(SERVING);
-        let done = Done(at.clone());
+        let done = ExchangeGuard(at.clone());
         let entry = served.clone();
         async move { Ok::<_, Infallible>(job::serve(entry, req, done).await) }
     });
     let bounds = bounds(&entry);
     let conn = Builder::new()
-        .max_buf_size(bounds.max_head.max(LEAST_BUFFER))
+        .max_buf_size(bounds.max_head.max(MIN_BUFFER))
         .auto_date_header(false)
         .serve_connection(io, service);
     let mut conn = conn;
@@ -117,9 +117,9 @@
                 tracing::info!(event = "connection broke", cause = %e);
             }
         }
-        Ok(Bound::SlowHead) => slow_head(conn).await,
-        Ok(Bound::Rested) => {}
-        Ok(Bound::Closing) => {
+        Ok(ConnectionEnd::SlowHead) => slow_head(conn).await,
+        Ok(ConnectionEnd::Idle) => {}
+        Ok(ConnectionEnd::Closing) => {
             Pin::new(&mut conn).graceful_shutdown();
             // Running requests are bounded by their deadlines.
             let _ = conn.await;
@@ -128,31 +128,31 @@
 }
 
 /// Answers 408 to a caller whose head did not arrive in time.
-async fn slow_head<S>(conn: Connection<FuturesIo<Timed>, S>)
+async fn slow_head<S>(conn: Connection<FuturesIo<TimedSocket>, S>)
 where
     S: HttpService<Incoming, ResBody = AnswerBody>,
     S::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
     let mut io = conn.into_parts().io.into_inner();
-    let _ = exec::within(LAST_WORDS, io.sock.write_all(SLOW_HEAD)).await;
+    let _ = exec::within(SLOW_HEAD_TIMEOUT, io.sock.write_all(SLOW_HEAD_RESPONSE)).await;
     if logs::allows(Line::Caller) {
         tracing::info!(event = "head too slow");
     }
 }
 
 /// Waits until a time-out or shutdown ends the connection.
-async fn watch(entry: &Inner, phase: &Phase) -> Bound {
+async fn watch(entry: &Inner, phase: &Phase) -> ConnectionEnd {
     let closing = async {
         entry.stop.closing().await;
-        Bound::Closing
+        ConnectionEnd::Closing
     };
     let bounded = async {
         loop {
             let bounds = bounds(entry);
             let (at, since) = phase.get();
             let (limit, bound) = match at {
-                RESTING => (bounds.idle_timeout, Bound::Rested),
-                HEAD => (bounds.head_timeout, Bound::SlowHead),
+                IDLE => (bounds.idle_timeout, ConnectionEnd::Idle),
+                HEAD => (bounds.head_timeout, ConnectionEnd::SlowHead),
                 _ => {
                     Timer::after(bounds.idle_timeout.min(bounds.head_timeout)).await;
                     continue;
@@ -176,7 +176,7 @@
 
 impl Phase {
     fn new() -> Self {
-        Self { at: AtomicU8::new(RESTING), since: Mutex::new(Instant::now()) }
+        Self { at: AtomicU8::new(IDLE), since: Mutex::new(Instant::now()) }
     }
 
     fn set(&self, at: u8) {
@@ -190,25 +190,25 @@
 }
 
 /// Marks the connection as idle when dropped.
-pub(super) struct Done(Arc<Phase>);
+pub(super) struct ExchangeGuard(Arc<Phase>);
 
-impl Drop for Done {
+impl Drop for ExchangeGuard {
     fn drop(&mut self) {
-        self.0.set(RESTING);
+        self.0.set(IDLE);
     }
 }
 
 /// Counts a connection while it is open.
-struct Counted(Arc<Inner>);
+struct ConnectionCount(Arc<Inner>);
 
-impl Counted {
+impl ConnectionCount {
     fn new(entry: &Arc<Inner>) -> Self {
         entry.stop.connections.fetch_add(1, Ordering::AcqRel);
         Self(entry.clone())
     }
 }
 
-impl Drop for Counted {
+impl Drop for ConnectionCount {
     fn drop(&mut self) {
         let stop: &Stop = &self.0.stop;
         stop.connections.fetch_sub(1, Ordering::AcqRel);
@@ -217,12 +217,12 @@
 }
 
 /// A socket that records when a head begins.
-struct Timed {
+struct TimedSocket {
     sock: TcpStream,
     phase: Arc<Phase>,
 }
 
-impl AsyncRead for Timed {
+impl AsyncRead for TimedSocket {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -230,7 +230,7 @@
     ) -> Poll<io::Result<usize>> {
         let read = Pin::new(&mut self.sock).poll_read(cx, buf);
         if let Poll::Ready(Ok(1..)) = read {
-            if self.phase.at.load(Ordering::Acquire) == RESTING {
+            if self.phase.at.load(Ordering::Acquire) == IDLE {
                 self.phase.set(HEAD);
             }
         }
@@ -238,7 +238,7 @@
     }
 }
 
-impl AsyncWrite for Timed {
+impl AsyncWrite for TimedSocket {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/larkspring/src/direct/entry/view.rs
+++ b/crates/larkspring/src/direct/entry/view.rs
@@ -82,7 +82,7 @@
 
 /// The inputs of an endpoint selection, for logs.
 #[derive(Debug, Clone)]
-pub(super) struct Why {
+pub(super) struct SelectionInputs {
     /// The selected endpoint.
     pub endpoint: Incarnation,
     /// Whether the endpoint is in the entry's hall.
@@ -109,7 +109,7 @@
     pub avoided: usize,
 }
 
-impl Why {
+impl SelectionInputs {
     /// Records the inputs of the selection of `views[at]`.
     pub fn new(peer: &Peer, views: &[View], at: usize) -> Self {
         let view = &views[at];
