--- a/crates/larkspring/src/direct/entry/answer.rs
+++ b/crates/larkspring/src/direct/entry/answer.rs
@@ -141,7 +141,7 @@
 
     /// Returns when a caller should retry. `None` if a retry would get the same answer,
     /// or if the retry time comes from the limits or the endpoints.
-    pub fn come_back(self, needs_adapter: bool) -> Option<Duration> {
+    pub fn retry_after(self, needs_adapter: bool) -> Option<Duration> {
         let after = match self {
             Self::Stopping | Self::StaleKeys => RETRY_ELSEWHERE,
             Self::NoRouting => RETRY_AFTER_LOADING,
@@ -163,10 +163,10 @@
     }
 }
 
-/// Returns the retry time for an endpoint whose backoff ends after `rest`: not before
+/// Returns the retry time for an endpoint whose backoff ends after `backoff`: not before
 /// that, and spread over some time after it.
-pub(super) fn after_rest(rest: Duration) -> Duration {
-    rest.mul_f64(1.0 + RETRY_SPREAD * fastrand::f64())
+pub(super) fn retry_after_backoff(backoff: Duration) -> Duration {
+    backoff.mul_f64(1.0 + RETRY_SPREAD * fastrand::f64())
 }
 
 impl AnswerBody {
@@ -218,7 +218,7 @@
 }
 
 /// Builds larkspring's own answer to a request that has no answer from an endpoint.
-pub(super) fn own(
+pub(super) fn own_answer(
     entry: &Inner,
     reason: Reason,
     id: &str,
@@ -240,15 +240,15 @@
     }
     match reason {
         Reason::StaleKeys | Reason::StaleRouting => close(&mut res),
-        _ => close_if_leaving(entry, &mut res),
+        _ => close_if_draining(entry, &mut res),
     }
     res
 }
 
 /// Closes the caller's connection if the entry is stopping, so that the caller's next
 /// connection reaches another entry.
-pub(super) fn close_if_leaving(entry: &Inner, res: &mut Response<AnswerBody>) {
-    if entry.stop.is_leaving() {
+pub(super) fn close_if_draining(entry: &Inner, res: &mut Response<AnswerBody>) {
+    if entry.shutdown.is_draining() {
         close(res);
     }
 }
--- a/crates/larkspring/src/direct/entry/attempt.rs
+++ b/crates/larkspring/src/direct/entry/attempt.rs
@@ -28,13 +28,13 @@
 /// The endpoint selected for a request, with the resources reserved there.
 pub(super) struct Selection {
     /// The endpoint; counts the request as open there.
-    pub open: OpenRequest,
+    pub open_request: OpenRequest,
     /// The adapter and version on which the request has to run.
     pub target: Option<Target>,
     /// When the endpoint was chosen, just before the request is sent.
     pub began: Instant,
     /// The inputs of the selection.
-    pub why: SelectionInputs,
+    pub inputs: SelectionInputs,
     /// The permit to send the request, if the endpoint is rate-limited.
     pub permit: Option<Permit>,
     /// Keeps the adapter loaded until dropped.
@@ -63,7 +63,7 @@
 pub(super) struct OpenAnswer {
     pub body: Incoming,
     pub conn: Conn,
-    pub placed: Selection,
+    pub selection: Selection,
 }
 
 /// Connect time-out: a few round trips between halls. A connection that takes longer
@@ -76,21 +76,28 @@
 impl Selection {
     /// Creates the record of a selected endpoint, without a permit.
     pub fn new(
-        open: OpenRequest,
+        open_request: OpenRequest,
         target: Option<Target>,
-        why: SelectionInputs,
+        inputs: SelectionInputs,
         hold: Option<Hold>,
     ) -> Self {
-        Self { open, target, began: Instant::now(), why, permit: None, _hold: hold }
+        Self {
+            open_request,
+            target,
+            began: Instant::now(),
+            inputs,
+            permit: None,
+            _hold: hold,
+        }
     }
 }
 
 impl Job {
     /// Sends the request once and records the result.
-    pub(super) async fn attempt(&mut self, placed: Selection) -> AttemptOutcome {
-        let peer = placed.open.peer.clone();
+    pub(super) async fn attempt(&mut self, selection: Selection) -> AttemptOutcome {
+        let peer = selection.open_request.peer.clone();
         let sent = Instant::now();
-        let ended = self.send(placed, &peer).await;
+        let ended = self.send(selection, &peer).await;
         let end = match &ended {
             AttemptOutcome::Answered(_) => "answered",
             AttemptOutcome::Failed(_) => "failed",
@@ -101,35 +108,35 @@
         ended
     }
 
-    async fn send(&mut self, placed: Selection, peer: &Arc<Peer>) -> AttemptOutcome {
-        let once = !self.route.class.may_run_again();
-        let take = |cx: &mut Context<'_>| Poll::Ready(peer.take_rested(cx, once));
+    async fn send(&mut self, selection: Selection, peer: &Arc<Peer>) -> AttemptOutcome {
+        let run_once = !self.route.class.may_run_again();
+        let take = |cx: &mut Context<'_>| Poll::Ready(peer.take_idle(cx, run_once));
         if let Some(conn) = poll_fn(take).await {
             self.entry.stats.connection("reused");
-            match self.exchange(conn, &placed, peer).await {
+            match self.exchange(conn, &selection, peer).await {
                 // The idle connection was closed; the endpoint itself may be healthy.
                 Err(SendError::Unsent(..)) if peer.is_open() => {}
-                got => return self.sorted(got, placed, peer).await,
+                got => return self.sorted(got, selection, peer).await,
             }
         }
         let got = match Conn::open(peer.endpoint().addr, CONNECT_TIMEOUT).await {
             Ok(conn) => {
                 self.entry.stats.connection("new");
-                self.exchange(conn, &placed, peer).await
+                self.exchange(conn, &selection, peer).await
             }
             Err(e) => {
                 peer.quality(|q| q.no_connection(Instant::now()));
                 Err(e)
             }
         };
-        self.sorted(got, placed, peer).await
+        self.sorted(got, selection, peer).await
     }
 
     /// Sends the request on a connection and returns the head of the answer.
     async fn exchange(
         &mut self,
         mut conn: Conn,
-        placed: &Selection,
+        selection: &Selection,
         peer: &Arc<Peer>,
     ) -> Result<(Response<Incoming>, Conn), SendError> {
         let endpoint = peer.endpoint();
@@ -140,23 +147,23 @@
             return Err(SendError::Unsent(endpoint.addr.to_string(), cause));
         }
         if peer.rate_limit().is_some() {
-            if !placed.permit.is_some_and(|permit| permit.holds()) {
+            if !selection.permit.is_some_and(|permit| permit.holds()) {
                 let cause = "the endpoint is rate-limited and no permit is valid".into();
                 return Err(SendError::Unsent(endpoint.addr.to_string(), cause));
             }
             self.entry.stats.rated_send(self.kind_of_send());
         }
-        placed.open.has_read();
-        placed.open.reads(placed.why.unread_tokens);
+        selection.open_request.end_prefill();
+        selection.open_request.begin_prefill(selection.inputs.unread_tokens);
         let Some(body) = self.send_body() else {
             let cause = "the body was sent before and is not buffered".into();
             return Err(SendError::TakenBack(endpoint.addr.to_string(), cause));
         };
-        let version = placed.target.as_ref().map(|t| &*t.version);
+        let version = selection.target.as_ref().map(|t| &*t.version);
         let req = self.request(&endpoint.id, version, body);
         self.in_flight.store(true, Ordering::Release);
         let outdated = async {
-            match placed.target.as_ref().filter(|_| self.route.class.may_run_again()) {
+            match selection.target.as_ref().filter(|_| self.route.class.may_run_again()) {
                 Some(target) => self.entry.beliefs.outdated(target).await,
                 // A request that must not run twice can't be withdrawn.
                 None => future::pending().await,
@@ -177,15 +184,20 @@
     async fn sorted(
         &mut self,
         got: Result<(Response<Incoming>, Conn), SendError>,
-        placed: Selection,
+        selection: Selection,
         peer: &Arc<Peer>,
     ) -> AttemptOutcome {
         let (end, e) = match got {
-            Ok((res, conn)) => return self.answered(res, conn, placed, peer).await,
+            Ok((res, conn)) => return self.answered(res, conn, selection, peer).await,
             Err(e @ SendError::Unsent(..)) => (AttemptEnd::Unsent, e),
             Err(e @ SendError::TakenBack(..)) => (AttemptEnd::Unclear, e),
             Err(e) => {
-                self.entry.ends.broke(peer, self.content, &self.caller.id, placed.began);
+                self.entry.crashes.broke(
+                    peer,
+                    self.fingerprint,
+                    &self.caller.id,
+                    selection.began,
+                );
                 (AttemptEnd::Unclear, e)
             }
         };
@@ -214,7 +226,7 @@
         *req.uri_mut() = self.uri.clone();
         *req.headers_mut() = self.headers.clone();
         let forward = Forward {
-            deadline: self.left(),
+            deadline: self.time_left(),
             incarnation,
             version,
             priority: self.urgency(),
@@ -232,12 +244,14 @@
     /// for a resumed stream, whose caller waits for the next event, that is the priority
     /// alone.
     fn urgency(&self) -> Urgency {
-        let rank = self.rank();
+        let priority = self.priority();
         let begins = self.caller.model.is_some() && self.resume_after.is_none();
         let uses = self.entry.cfg().without.uses(Mechanism::ReadingOrder);
-        let Some(why) = self.why.as_ref().filter(|_| begins && uses) else { return rank };
+        let Some(inputs) = self.inputs.as_ref().filter(|_| begins && uses) else {
+            return priority;
+        };
         let left = self.route.objective.saturating_sub(self.received.elapsed());
-        urgency(rank, left, why.unread_tokens)
+        urgency(priority, left, inputs.unread_tokens)
     }
 
     /// Classifies an answer by its head.
@@ -245,27 +259,27 @@
         &mut self,
         res: Response<Incoming>,
         conn: Conn,
-        placed: Selection,
+        selection: Selection,
         peer: &Arc<Peer>,
     ) -> AttemptOutcome {
-        placed.open.has_read();
+        selection.open_request.end_prefill();
         let (head, body) = res.into_parts();
-        let said = self.entry.protocol.answer(&head.headers, &self.caller.id);
+        let answer_head = self.entry.protocol.answer(&head.headers, &self.caller.id);
         let endpoint = peer.endpoint();
         let status = head.status;
-        self.notice(&head, &said, peer, placed.began);
-        if said.echo == Echo::Other {
+        self.notice(&head, &answer_head, peer, selection.began);
+        if answer_head.echo == Echo::Other {
             peer.garbled();
             log_attempt(self, peer, AttemptEnd::Unclear, "answer to another request");
             return AttemptOutcome::NoAnswer(AttemptEnd::Unclear);
         }
         if status == StatusCode::MISDIRECTED_REQUEST {
-            let same = said.incarnation.is_none_or(|id| id == endpoint.id);
+            let same = answer_head.incarnation.is_none_or(|id| id == endpoint.id);
             let end = if same { AttemptEnd::Lacking } else { AttemptEnd::Moved };
             if end == AttemptEnd::Moved {
                 self.entry.fleet.is_gone(peer);
             }
-            match (&peer.link, &placed.target) {
+            match (&peer.link, &selection.target) {
                 (Some(link), Some(target)) => link.lacks(target.hash()),
                 // An engine that lacks its base model can't run any request for a while.
                 _ if end == AttemptEnd::Lacking => {
@@ -277,18 +291,20 @@
             self.spent(conn, body, peer).await;
             return AttemptOutcome::NoAnswer(end);
         }
-        if said.not_run {
+        if answer_head.not_run {
             log_attempt(self, peer, AttemptEnd::Rejected, status.as_str());
             self.spent(conn, body, peer).await;
             return AttemptOutcome::NoAnswer(AttemptEnd::Rejected);
         }
-        if status.is_success() && (!said.signed || said.echo == Echo::Missing) {
+        if status.is_success()
+            && (!answer_head.signed || answer_head.echo == Echo::Missing)
+        {
             log_attempt(self, peer, AttemptEnd::Unclear, "answer without signature");
             return AttemptOutcome::NoAnswer(AttemptEnd::Unclear);
         }
         let whole = self.route.class == RouteClass::Repeatable
             && body.size_hint().upper().is_some_and(|len| len <= MAX_BUFFERED_ANSWER);
-        let open = OpenAnswer { body, conn, placed };
+        let open = OpenAnswer { body, conn, selection };
         let payload = match whole {
             true => match self.whole(open, &head, peer).await {
                 Some(bytes) => Ok(bytes),
@@ -310,22 +326,22 @@
         head: &Parts,
         peer: &Arc<Peer>,
     ) -> Option<Bytes> {
-        let OpenAnswer { body, mut conn, placed } = open;
-        let began = placed.began;
+        let OpenAnswer { body, mut conn, selection } = open;
+        let began = selection.began;
         let read =
             conn.read(peer.endpoint().addr, body, MAX_BUFFERED_ANSWER as usize).await;
-        drop(placed);
+        drop(selection);
         match read {
             Ok(bytes) => {
                 if head.status.is_success() {
-                    self.entry.ends.answered(self.content);
+                    self.entry.crashes.answered(self.fingerprint);
                 }
                 conn.learn(&head.headers);
-                rest(peer, conn).await;
+                recycle(peer, conn).await;
                 Some(bytes)
             }
             Err(e) => {
-                self.entry.ends.broke(peer, self.content, &self.caller.id, began);
+                self.entry.crashes.broke(peer, self.fingerprint, &self.caller.id, began);
                 log_attempt(self, peer, AttemptEnd::Unclear, &e.to_string());
                 None
             }
@@ -336,7 +352,7 @@
     async fn spent(&self, mut conn: Conn, body: Incoming, peer: &Arc<Peer>) {
         let addr = peer.endpoint().addr;
         if conn.read(addr, body, MAX_BUFFERED_ANSWER as usize).await.is_ok() {
-            rest(peer, conn).await;
+            recycle(peer, conn).await;
         }
     }
 
@@ -355,11 +371,11 @@
 }
 
 /// Returns a connection to the endpoint's idle pool.
-pub(super) async fn rest(peer: &Peer, conn: Conn) {
+pub(super) async fn recycle(peer: &Peer, conn: Conn) {
     let mut conn = Some(conn);
     poll_fn(|cx| {
         if let Some(conn) = conn.take() {
-            peer.rest(conn, cx);
+            peer.add_idle(conn, cx);
         }
         Poll::Ready(())
     })
@@ -376,7 +392,7 @@
             addr = %endpoint.addr,
             end = end_name(end),
             cause,
-            content = logs::hash(job.content),
+            content = logs::hash(job.fingerprint),
             attempts = job.history.attempts + 1,
         );
     }
--- a/crates/larkspring/src/direct/entry/body.rs
+++ b/crates/larkspring/src/direct/entry/body.rs
@@ -66,7 +66,7 @@
 impl BufferedBytes {
     /// Counts bytes; returns whether the total is within the limit.
     fn add(&mut self, len: usize) -> bool {
-        let all = self.entry.kept_bytes.fetch_add(len, Ordering::Relaxed) + len;
+        let all = self.entry.buffered_bytes.fetch_add(len, Ordering::Relaxed) + len;
         self.len += len;
         all <= self.entry.cfg().max_kept_bytes
     }
@@ -74,7 +74,7 @@
 
 impl Drop for BufferedBytes {
     fn drop(&mut self) {
-        self.entry.kept_bytes.fetch_sub(self.len, Ordering::Relaxed);
+        self.entry.buffered_bytes.fetch_sub(self.len, Ordering::Relaxed);
     }
 }
 
@@ -83,7 +83,7 @@
 ///
 /// All entries compute the same hash. Of a body too large to buffer, only the beginning
 /// is hashed.
-pub(super) fn content(
+pub(super) fn request_fingerprint(
     path: &str,
     workspace: Option<&str>,
     body: &RequestBody,
@@ -101,7 +101,7 @@
 impl RequestBody {
     /// Returns whether the body is buffered and not empty, so that the fingerprint tells
     /// the request from others.
-    pub fn is_telling(&self) -> bool {
+    pub fn is_fingerprinted(&self) -> bool {
         matches!(self, Self::Buffered { bytes, .. } if !bytes.is_empty())
     }
 }
--- a/crates/larkspring/src/direct/entry/ends.rs
+++ b/crates/larkspring/src/direct/entry/ends.rs
@@ -19,7 +19,7 @@
 use smol::Timer;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-use super::attempt::rest;
+use super::attempt::recycle;
 use super::fleet::Fleet;
 use super::link::Link;
 use super::peer::{InterruptedRequest, Peer};
@@ -46,7 +46,7 @@
 
 /// A crash of a run under a request.
 struct DetectedCrash {
-    content: ContentHash,
+    fingerprint: ContentHash,
     end: End,
     /// Agents to which the crash was reported.
     told: Vec<AgentConnection>,
@@ -82,15 +82,15 @@
     }
 
     /// Returns whether requests with a fingerprint are quarantined.
-    pub fn refuses(&self, content: ContentHash) -> bool {
-        self.findings.standing(content) == Standing::Refused
+    pub fn refuses(&self, fingerprint: ContentHash) -> bool {
+        self.findings.standing(fingerprint) == Standing::Refused
     }
 
     /// Records that a request's connection broke before the answer was complete.
     pub fn broke(
         self: &Arc<Self>,
         peer: &Arc<Peer>,
-        content: ContentHash,
+        fingerprint: ContentHash,
         id: &str,
         began: Instant,
     ) {
@@ -100,7 +100,7 @@
             return;
         }
         if peer.broke(InterruptedRequest {
-            content,
+            fingerprint,
             id: id.into(),
             began,
             at: Instant::now(),
@@ -110,11 +110,11 @@
     }
 
     /// Records a complete answer, which clears the suspicion against its request.
-    pub fn answered(&self, content: ContentHash) {
-        let Some(cleared) = self.findings.answered(content) else { return };
-        self.seen.lock().retain(|seen| seen.content != content);
+    pub fn answered(&self, fingerprint: ContentHash) {
+        let Some(cleared) = self.findings.answered(fingerprint) else { return };
+        self.seen.lock().retain(|seen| seen.fingerprint != fingerprint);
         let told = wire::Findings { findings: vec![cleared] };
-        for (_, link) in self.homes(content) {
+        for (_, link) in self.homes(fingerprint) {
             // An agent that can't be reached keeps suspecting the request.
             link.found(told.clone());
         }
@@ -157,9 +157,9 @@
             return;
         }
         let run = xxh3_64(endpoint.id.as_bytes());
-        for InterruptedRequest { content, id, began, at } in broken {
+        for InterruptedRequest { fingerprint, id, began, at } in broken {
             let attempt = xxh3_64_with_seed(id.as_bytes(), run);
-            self.saw(content, End { attempt, began, at });
+            self.saw(fingerprint, End { attempt, began, at });
         }
         self.tell();
     }
@@ -172,7 +172,7 @@
             Ok(sock) => {
                 // The probe's connection goes to the idle pool for the next request.
                 if let Ok(conn) = Conn::over(addr, sock).await {
-                    rest(peer, conn).await;
+                    recycle(peer, conn).await;
                 }
             }
             // The network is disturbed or the VM is gone. The agent may still report a
@@ -185,13 +185,13 @@
 
     /// Keeps a crash for the agents, and counts it in this entry too, in case no agent is
     /// live.
-    fn saw(&self, content: ContentHash, end: End) {
+    fn saw(&self, fingerprint: ContentHash, end: End) {
         let mut seen = self.seen.lock();
         if seen.len() >= MAX_DETECTED_CRASHES {
             seen.pop_front();
         }
-        seen.push_back(DetectedCrash { content, end, told: Vec::new() });
-        self.findings.ended(content, end);
+        seen.push_back(DetectedCrash { fingerprint, end, told: Vec::new() });
+        self.findings.ended(fingerprint, end);
     }
 
     /// Returns whether the set of live agents changed while there are crashes to report.
@@ -213,12 +213,12 @@
     fn tell(&self) {
         let mut seen = self.seen.lock();
         for seen in seen.iter_mut() {
-            for (addr, link) in self.homes(seen.content) {
+            for (addr, link) in self.homes(seen.fingerprint) {
                 let key = (addr, link.connection_number());
                 if seen.told.contains(&key) {
                     continue;
                 }
-                let ends = vec![write_end(seen.content, &seen.end)];
+                let ends = vec![write_end(seen.fingerprint, &seen.end)];
                 if link.ended_under(wire::EndedUnder { ends }) {
                     seen.told.push(key);
                 }
@@ -228,10 +228,10 @@
 
     /// Returns the agents that count the crashes of a fingerprint. Entries agree on them
     /// without communicating.
-    fn homes(&self, content: ContentHash) -> Vec<(SocketAddr, Arc<Link>)> {
+    fn homes(&self, fingerprint: ContentHash) -> Vec<(SocketAddr, Arc<Link>)> {
         let links = self.fleet.live_links().into_iter();
         let named = links.map(|(addr, link)| (addr.to_string().into(), addr, link));
-        let ranked = ranked(content, named.collect(), |(name, _, _)| name);
+        let ranked = ranked(fingerprint, named.collect(), |(name, _, _)| name);
         ranked
             .into_iter()
             .take(COUNTING_AGENTS)
--- a/crates/larkspring/src/direct/entry/job.rs
+++ b/crates/larkspring/src/direct/entry/job.rs
@@ -15,9 +15,9 @@
 use larkspring_core::workspaces::Workspace;
 
 use super::admit::Charge;
-use super::answer::{close_if_leaving, own, AnswerBody, Reason};
+use super::answer::{close_if_draining, own_answer, AnswerBody, Reason};
 use super::attempt::{AttemptOutcome, EndpointAnswer};
-use super::body::{content, discard, read_body, RequestBody};
+use super::body::{discard, read_body, request_fingerprint, RequestBody};
 use super::log::{log_answered, log_refused};
 use super::peer::Peer;
 use super::relay::Relay;
@@ -53,15 +53,15 @@
     /// Whether an attempt that the endpoint may be executing is in progress.
     pub in_flight: Arc<AtomicBool>,
     /// The request fingerprint, which recognises a retry under another id.
-    pub content: ContentHash,
+    pub fingerprint: ContentHash,
     /// Whether the request is the retry of one refused a moment ago.
-    pub is_back: bool,
+    pub is_retry: bool,
     /// Id of the last event of a stream that the caller has received.
     pub resume_after: Option<String>,
     /// Time spent waiting for the adapter so far.
     pub waited: Duration,
     /// The inputs of the last endpoint selection.
-    pub why: Option<SelectionInputs>,
+    pub inputs: Option<SelectionInputs>,
 }
 
 /// Time-out of a request without a deadline on a route without a time-out.
@@ -99,7 +99,7 @@
             if logs::allows(Line::Caller) {
                 tracing::info!(event = "refused", reason = "bad request", cause = %e);
             }
-            return own(&entry, Reason::BadRequest, "", None, Some(done));
+            return own_answer(&entry, Reason::BadRequest, "", None, Some(done));
         }
     };
     let needs_adapter = caller.model.is_some();
@@ -107,13 +107,13 @@
         exec::spawn(discard(body)).detach();
         log_refused(&entry, &caller, workspace, reason, received, None, None);
         entry.stats.request("", reason.name());
-        own(&entry, reason, &caller.id, after, Some(done))
+        own_answer(&entry, reason, &caller.id, after, Some(done))
     };
     let refuse = |reason: Reason, body, done| {
-        let after = reason.come_back(needs_adapter);
+        let after = reason.retry_after(needs_adapter);
         refuse_until(reason, None, after, body, done)
     };
-    if entry.stop.is_closing() {
+    if entry.shutdown.is_closing() {
         return refuse(Reason::Stopping, Some(body), done);
     }
     let Some(routing) = routing(&entry).await else {
@@ -131,9 +131,9 @@
     let Some(service) = service.and_then(|name| routing.service(name)).cloned() else {
         return refuse(Reason::NoEndpoint, Some(body), done);
     };
-    let waits = caller.deadline.unwrap_or(DEFAULT_TIMEOUT);
-    let allowed = waits.min(route.timeout.unwrap_or(waits));
-    let deadline = received + allowed;
+    let requested_timeout = caller.deadline.unwrap_or(DEFAULT_TIMEOUT);
+    let timeout = requested_timeout.min(route.timeout.unwrap_or(requested_timeout));
+    let deadline = received + timeout;
     let charge = match &workspace {
         Some(of) => match entry.charge(&routing, of, &caller).await {
             Ok(charge) => charge,
@@ -151,27 +151,27 @@
         None => None,
     };
     entry.count_request(&service.name);
-    let read = within(allowed, read_body(&entry, body, routing.bounds.max_body)).await;
+    let read = within(timeout, read_body(&entry, body, routing.bounds.max_body)).await;
     let body = match read {
         Some(Ok(body)) => body,
         Some(Err(reason)) => return refuse(reason, None, done),
         None => return refuse(Reason::TimedOutNotRun, None, done),
     };
     let name = workspace.as_ref().map(|w| &*w.name);
-    let content = content(head.uri.path(), name, &body);
-    let is_back = body.is_telling() && entry.is_back(content);
+    let fingerprint = request_fingerprint(head.uri.path(), name, &body);
+    let is_retry = body.is_fingerprinted() && entry.take_refusal(fingerprint);
     let job = Job {
-        content,
-        is_back,
+        fingerprint,
+        is_retry,
         resume_after: caller.resume_after.clone(),
         method: head.method,
         uri: head.uri,
-        headers: passed_on(head.headers),
+        headers: strip_hop_by_hop_headers(head.headers),
         history: History::default(),
         tried: Vec::new(),
         in_flight: Arc::default(),
         waited: Duration::ZERO,
-        why: None,
+        inputs: None,
         entry,
         routing,
         route,
@@ -188,17 +188,17 @@
 
 impl Job {
     async fn run(mut self, done: ExchangeGuard) -> Response<AnswerBody> {
-        let (left, in_flight) = (self.left(), self.in_flight.clone());
+        let (left, in_flight) = (self.time_left(), self.in_flight.clone());
         let entry = self.entry.clone();
         let stopping = async {
-            entry.stop.ending().await;
+            entry.shutdown.wait_refusing().await;
             if in_flight.load(Ordering::Acquire) {
                 // An attempt in progress is allowed to finish.
                 future::pending::<()>().await;
             }
             Some(Err((Reason::Stopping, None)))
         };
-        let ended = future::or(within(left, self.attempts()), stopping).await;
+        let ended = future::or(within(left, self.run_attempts()), stopping).await;
         let may_run = self.in_flight.load(Ordering::Acquire) || self.history.may_have_run;
         let ran = may_run || matches!(ended, Some(Ok(_)));
         if let Some(charge) = self.charge.as_mut().filter(|_| ran) {
@@ -215,15 +215,23 @@
             true => (Reason::Unclear, None),
             false => (reason, after),
         };
-        let after = after.or_else(|| reason.come_back(self.caller.model.is_some()));
-        if after.is_some() && self.body.is_telling() {
-            self.entry.expect_back(self.content);
+        let after = after.or_else(|| reason.retry_after(self.caller.model.is_some()));
+        if after.is_some() && self.body.is_fingerprinted() {
+            self.entry.record_refusal(self.fingerprint);
         }
-        let (workspace, why) = (self.workspace_name(), self.why.as_ref());
-        let (caller, content) = (&self.caller, Some(self.content));
-        log_refused(&self.entry, caller, workspace, reason, self.received, why, content);
+        let (workspace, inputs) = (self.workspace_name(), self.inputs.as_ref());
+        let (caller, fingerprint) = (&self.caller, Some(self.fingerprint));
+        log_refused(
+            &self.entry,
+            caller,
+            workspace,
+            reason,
+            self.received,
+            inputs,
+            fingerprint,
+        );
         self.entry.stats.request(&self.route.name, reason.name());
-        own(&self.entry, reason, &self.caller.id, after, Some(done))
+        own_answer(&self.entry, reason, &self.caller.id, after, Some(done))
     }
 
     /// Returns how long the request may still wait for an endpoint before it is refused.
@@ -231,34 +239,34 @@
     /// A caller that is refused early still has time to retry. A request that is a retry
     /// itself, that has waited past the early part of its objective, or that may have run
     /// and so can't be refused, waits for as long as an answer in time is possible.
-    pub fn patience(&self) -> Duration {
+    pub fn max_wait(&self) -> Duration {
         if !self.entry.cfg().without.uses(Mechanism::Patience) {
             return Duration::ZERO;
         }
         let early = self.route.objective.mul_f64(EARLY_FRACTION);
-        let can_come_back = !self.is_back && !self.history.may_have_run;
+        let can_come_back = !self.is_retry && !self.history.may_have_run;
         match early.checked_sub(self.received.elapsed()) {
-            Some(left) if can_come_back => left.min(self.left()),
-            _ => self.left().saturating_sub(ANSWER_RESERVE),
+            Some(left) if can_come_back => left.min(self.time_left()),
+            _ => self.time_left().saturating_sub(ANSWER_RESERVE),
         }
     }
 
     /// Selects endpoints and sends the request until it is answered or no attempt is
     /// left. Returns an endpoint's own error response if no later attempt does better.
-    pub async fn attempts(
+    pub async fn run_attempts(
         &mut self,
     ) -> Result<EndpointAnswer, (Reason, Option<Duration>)> {
         let mut own_failure = None;
         loop {
-            if self.entry.ends.refuses(self.content) {
+            if self.entry.crashes.refuses(self.fingerprint) {
                 return own_failure.ok_or((Reason::CrashesEndpoints, None));
             }
-            let placed = match self.place().await {
-                Ok(placed) => placed,
+            let selection = match self.place().await {
+                Ok(selection) => selection,
                 Err(e) => return own_failure.ok_or(e),
             };
-            let peer = placed.open.peer.clone();
-            let end = match self.attempt(placed).await {
+            let peer = selection.open_request.peer.clone();
+            let end = match self.attempt(selection).await {
                 AttemptOutcome::Answered(answered) => return Ok(answered),
                 AttemptOutcome::Failed(answered) => {
                     own_failure = Some(answered);
@@ -266,7 +274,7 @@
                 }
                 AttemptOutcome::NoAnswer(end) => end,
             };
-            let reason = match self.after(end, &peer) {
+            let reason = match self.record_attempt(end, &peer) {
                 Next::Elsewhere | Next::Same => continue,
                 Next::Deliver | Next::Fail => Reason::Unclear,
                 Next::Refuse if end == AttemptEnd::Unsent => Reason::NotReached,
@@ -277,7 +285,7 @@
     }
 
     /// Records the outcome of an attempt and decides how to proceed.
-    pub fn after(&mut self, end: AttemptEnd, peer: &Arc<Peer>) -> Next {
+    pub fn record_attempt(&mut self, end: AttemptEnd, peer: &Arc<Peer>) -> Next {
         self.in_flight.store(false, Ordering::Release);
         self.history.attempts += 1;
         let id = peer.endpoint().id.clone();
@@ -287,7 +295,7 @@
         }
         match end {
             // The same endpoint is retried once it has loaded the adapter.
-            AttemptEnd::Lacking if self.names_adapter() => {
+            AttemptEnd::Lacking if self.needs_adapter() => {
                 self.tried.retain(|tried| *tried != id)
             }
             _ if !self.tried.contains(&id) => self.tried.push(id),
@@ -295,9 +303,9 @@
         }
         let entry = self.entry.clone();
         let service = self.service.name.clone();
-        let repeat = || entry.repeat(&service);
+        let retry = || entry.take_retry(&service);
         let step =
-            next(self.route.class, end, self.history, self.route.max_attempts, repeat);
+            next(self.route.class, end, self.history, self.route.max_attempts, retry);
         self.history.may_have_run |= end.may_have_run();
         step
     }
@@ -308,18 +316,18 @@
     }
 
     /// Returns the priority of the workspace, or else of the route; 0 is the most urgent.
-    pub fn rank(&self) -> u32 {
+    pub fn priority(&self) -> u32 {
         let workspace = self.workspace.as_ref().and_then(|w| w.priority);
         workspace.unwrap_or(self.route.priority)
     }
 
     /// Returns whether the request needs an adapter besides the base model.
-    fn names_adapter(&self) -> bool {
+    fn needs_adapter(&self) -> bool {
         self.caller.model.as_ref().is_some_and(|model| model.adapter.is_some())
     }
 
     /// Returns the time left until the deadline.
-    pub fn left(&self) -> Duration {
+    pub fn time_left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
@@ -342,7 +350,7 @@
         let entry = self.entry.clone();
         entry.stats.first_byte(&self.route.name, self.received.elapsed());
         let (mut head, payload) = (answered.head, answered.payload);
-        head.headers = passed_on(std::mem::take(&mut head.headers));
+        head.headers = strip_hop_by_hop_headers(std::mem::take(&mut head.headers));
         let is_stream = self.route.class.is_stream() && head.status.is_success();
         let outcome = if head.status.is_success() { "answered" } else { "failed there" };
         entry.stats.request(&self.route.name, outcome);
@@ -363,7 +371,7 @@
         };
         let mut res = Response::from_parts(head, body);
         *res.version_mut() = http::Version::HTTP_11;
-        close_if_leaving(&entry, &mut res);
+        close_if_draining(&entry, &mut res);
         res
     }
 }
@@ -379,7 +387,7 @@
 }
 
 /// Removes hop-by-hop headers.
-fn passed_on(mut headers: HeaderMap) -> HeaderMap {
+fn strip_hop_by_hop_headers(mut headers: HeaderMap) -> HeaderMap {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
--- a/crates/larkspring/src/direct/entry/log.rs
+++ b/crates/larkspring/src/direct/entry/log.rs
@@ -18,14 +18,14 @@
     workspace: Option<&str>,
     reason: Reason,
     since: Instant,
-    why: Option<&SelectionInputs>,
-    content: Option<ContentHash>,
+    inputs: Option<&SelectionInputs>,
+    fingerprint: Option<ContentHash>,
 ) {
     if logs::allows(Line::Unserved) {
         tracing::warn!(
             event = "unserved",
             request = caller.id,
-            content = content.map(logs::hash),
+            content = fingerprint.map(logs::hash),
             workspace,
             reason = reason.name(),
             status = reason.status().as_u16(),
@@ -34,13 +34,13 @@
             routing_proof_age_ms =
                 entry.beliefs.proof_age(Kind::Routing).map(|age| age.as_millis() as u64),
             store_age_ms = entry.beliefs.store_age().map(|age| age.as_millis() as u64),
-            endpoint = why.map(|w| &*w.endpoint),
-            holding = why.map(|w| w.holding),
-            running = why.map(|w| w.running),
-            loads_ahead = why.map(|w| w.loads_ahead),
-            chosen_of = why.map(|w| w.of),
-            avoided = why.map(|w| w.avoided),
-            quality_ms = why.map(|w| w.quality.as_millis() as u64),
+            endpoint = inputs.map(|w| &*w.endpoint),
+            holding = inputs.map(|w| w.holding),
+            running = inputs.map(|w| w.running),
+            loads_ahead = inputs.map(|w| w.loads_ahead),
+            chosen_of = inputs.map(|w| w.of),
+            avoided = inputs.map(|w| w.avoided),
+            quality_ms = inputs.map(|w| w.quality.as_millis() as u64),
         );
     }
 }
@@ -48,7 +48,7 @@
 /// Logs a request whose answer from an endpoint is delivered.
 pub(super) fn log_answered(job: &Job, endpoint: &Incarnation, status: u16) {
     if logs::allows(Line::Served) {
-        let why = job.why.as_ref();
+        let inputs = job.inputs.as_ref();
         let model = job.caller.model.as_ref();
         let age = job.entry.beliefs.store_age();
         tracing::info!(
@@ -64,17 +64,17 @@
             attempts = job.history.attempts + 1,
             routing = job.routing.version,
             store_age_ms = age.map(|age| age.as_millis() as u64),
-            same_hall = why.map(|w| w.same_hall),
+            same_hall = inputs.map(|w| w.same_hall),
             adapter = model.and_then(|m| m.adapter.as_deref()),
-            holding = why.map(|w| w.holding),
-            running = why.map(|w| w.running),
-            loads_ahead = why.map(|w| w.loads_ahead),
+            holding = inputs.map(|w| w.holding),
+            running = inputs.map(|w| w.running),
+            loads_ahead = inputs.map(|w| w.loads_ahead),
             prompt_tokens = model.map(|m| m.prompt_tokens),
-            unread_tokens = why.map(|w| w.unread_tokens),
-            reading_tokens = why.map(|w| w.reading_tokens),
-            free_places = why.map(|w| w.free_places),
-            holders = why.map(|w| w.holders),
-            chosen_of = why.map(|w| w.of),
+            unread_tokens = inputs.map(|w| w.unread_tokens),
+            reading_tokens = inputs.map(|w| w.reading_tokens),
+            free_places = inputs.map(|w| w.free_places),
+            holders = inputs.map(|w| w.holders),
+            chosen_of = inputs.map(|w| w.of),
         );
     }
 }
--- a/crates/larkspring/src/direct/entry/mod.rs
+++ b/crates/larkspring/src/direct/entry/mod.rs
@@ -92,20 +92,20 @@
     fleet: Arc<Fleet>,
     limits: Arc<Limits>,
     permits: Permits,
-    ends: Arc<CrashDetector>,
+    crashes: Arc<CrashDetector>,
     stats: Arc<Stats>,
-    repeats: Mutex<HashMap<ServiceId, RepeatWindow>>,
+    retry_budgets: Mutex<HashMap<ServiceId, RepeatWindow>>,
     /// Adapters whose preloading was requested, with the time of the request.
-    copies: Mutex<HashMap<TargetHash, Instant>>,
+    preloads: Mutex<HashMap<TargetHash, Instant>>,
     /// Requests refused with a retry time, with the time of the refusal.
-    refused: Mutex<HashMap<ContentHash, Instant>>,
-    stop: Stop,
-    kept_bytes: AtomicUsize,
+    recent_refusals: Mutex<HashMap<ContentHash, Instant>>,
+    shutdown: Shutdown,
+    buffered_bytes: AtomicUsize,
 }
 
 /// The progress of the entry's shutdown.
 #[derive(Default)]
-pub(super) struct Stop {
+pub(super) struct Shutdown {
     /// 0 while the entry runs, then [`DRAINING`], [`CLOSING`] and [`REFUSING`] in turn.
     stage: AtomicU8,
     connections: AtomicUsize,
@@ -142,13 +142,13 @@
     ) -> Result<Self, StartError> {
         let beliefs = Arc::new(Beliefs::default());
         let stats = Arc::new(Stats::new());
-        let who =
+        let identity =
             EntryIdentity { vm: cfg.process.vm.clone(), hall: cfg.process.hall.clone() };
         let (tx, grants) = channel::unbounded();
         let findings = Arc::new(Findings::new(stats.clone()));
-        let told = MessageSinks { grants: tx, findings: findings.clone() };
-        let fleet = Fleet::new(beliefs.clone(), who, cfg.process.agent_port, told);
-        let ends = CrashDetector::new(fleet.clone(), findings, stats.clone());
+        let sinks = MessageSinks { grants: tx, findings: findings.clone() };
+        let fleet = Fleet::new(beliefs.clone(), identity, cfg.process.agent_port, sinks);
+        let crashes = CrashDetector::new(fleet.clone(), findings, stats.clone());
         let terms = cfg.process.limits;
         let limits = Limits::new(terms, beliefs.clone(), fleet.clone(), grants);
         let listener = TcpListener::bind(cfg.listen).await;
@@ -163,20 +163,20 @@
             fleet: fleet.clone(),
             limits: limits.clone(),
             permits: Permits::new(fleet.clone(), stats.clone()),
-            ends: ends.clone(),
+            crashes: crashes.clone(),
             stats: stats.clone(),
-            repeats: Mutex::default(),
-            copies: Mutex::default(),
-            refused: Mutex::default(),
-            stop: Stop::default(),
-            kept_bytes: AtomicUsize::new(0),
+            retry_budgets: Mutex::default(),
+            preloads: Mutex::default(),
+            recent_refusals: Mutex::default(),
+            shutdown: Shutdown::default(),
+            buffered_bytes: AtomicUsize::new(0),
         });
         let process = inner.cfg().process.clone();
         let store = StoreReader::new(directory, stats.clone());
         let directory = Arc::new(HallDirectory::new(store, fleet.clone(), &process));
         let mut tasks = watch::follow(directory, beliefs, stats.clone(), &process);
         tasks.push(exec::spawn(limits.run()));
-        tasks.push(exec::spawn(ends.run()));
+        tasks.push(exec::spawn(crashes.run()));
         tasks.push(exec::spawn(fleet.clone().follow()));
         tasks.push(exec::spawn(fleet.sweep()));
         tasks.push(exec::spawn(logs::report_left_out()));
@@ -184,8 +184,8 @@
         let answer = move |_: &str| (ready.readiness(), Vec::new());
         let served = side::serve(readiness, Arc::new(answer)).await;
         tasks.push(served.map_err(|e| StartError::Listen("readiness", readiness, e))?);
-        let shown = inner.clone();
-        let answer = move |_: &str| (StatusCode::OK, shown.metrics());
+        let metered = inner.clone();
+        let answer = move |_: &str| (StatusCode::OK, metered.metrics());
         let served = side::serve(metrics, Arc::new(answer)).await;
         tasks.push(served.map_err(|e| StartError::Listen("metrics", metrics, e))?);
         tasks.push(exec::spawn(serve::accept(listener, inner.clone())));
@@ -200,7 +200,7 @@
 
     /// Applies changed settings, except for addresses, which need a restart.
     pub fn reload(&self, cfg: EntryCfg) {
-        for window in self.inner.repeats.lock().values_mut() {
+        for window in self.inner.retry_budgets.lock().values_mut() {
             window.set_terms(cfg.repeats);
         }
         self.inner.cfg.store(Arc::new(cfg));
@@ -211,24 +211,24 @@
     pub async fn stop(self) {
         let began = Instant::now();
         tracing::info!(event = "stop", process = "entry");
-        let stop = &self.inner.stop;
-        stop.enter(DRAINING);
+        let shutdown = &self.inner.shutdown;
+        shutdown.enter(DRAINING);
         let grace = self.inner.cfg().process.stop_grace;
         let end = began + grace.saturating_sub(EXIT_BEFORE_END);
         Timer::at((began + ACCEPT_AFTER_STOP).min(end)).await;
-        stop.enter(CLOSING);
+        shutdown.enter(CLOSING);
         let ending = async {
             Timer::at(began + grace.saturating_sub(REFUSE_BEFORE_END)).await;
-            stop.enter(REFUSING);
+            shutdown.enter(REFUSING);
             Timer::at(end).await;
             false
         };
         let idle = async {
-            stop.idle().await;
+            shutdown.wait_no_connections().await;
             true
         };
         let idle = future::or(idle, ending).await;
-        let open = self.inner.stop.connections.load(Ordering::Acquire);
+        let open = self.inner.shutdown.connections.load(Ordering::Acquire);
         tracing::info!(event = "stopped", process = "entry", idle, open);
         drop(self.tasks);
     }
@@ -247,59 +247,62 @@
         let trusted =
             routing.is_some_and(|r| r.workspaces.is_none() || self.trusts_keys());
         let knows = trusted && !self.fleet.is_empty();
-        match knows && !self.stop.is_leaving() {
+        match knows && !self.shutdown.is_draining() {
             true => StatusCode::OK,
             false => StatusCode::SERVICE_UNAVAILABLE,
         }
     }
 
     fn metrics(&self) -> Vec<u8> {
-        let away =
+        let unavailable_ms =
             self.beliefs.store_away_since().map_or(0, |at| at.elapsed().as_millis());
         let version = self.beliefs.routing().map_or(0, |r| r.version);
         self.stats.state("routing_version", version as i64);
-        self.stats.state("store_away_ms", away as i64);
+        self.stats.state("store_away_ms", unavailable_ms as i64);
         for kind in Kind::ALL {
             self.stats.proof_age(kind.name(), self.beliefs.proof_age(kind));
         }
         for (workspace, units) in self.limits.reserved() {
             self.stats.reserved(&workspace, units as i64);
         }
-        self.ends.show();
+        self.crashes.show();
         self.stats.state("endpoints", self.fleet.len() as i64);
-        let connections = self.stop.connections.load(Ordering::Relaxed);
+        let connections = self.shutdown.connections.load(Ordering::Relaxed);
         self.stats.state("caller_connections", connections as i64);
         self.stats.text()
     }
 
     /// Counts a request toward the retry budget that the service's entries share.
     fn count_request(&self, service: &ServiceId) {
-        let mut repeats = self.repeats.lock();
+        let mut retry_budgets = self.retry_budgets.lock();
         let terms = self.cfg().repeats;
         let fresh = || RepeatWindow::new(terms);
-        repeats.entry(service.clone()).or_insert_with(fresh).request(Instant::now());
+        retry_budgets
+            .entry(service.clone())
+            .or_insert_with(fresh)
+            .request(Instant::now());
     }
 
     /// Takes one retry from the shared budget; `false` if the budget is used up.
-    fn repeat(&self, service: &ServiceId) -> bool {
+    fn take_retry(&self, service: &ServiceId) -> bool {
         let (entries, _) = self.fleet.entries();
-        let mut repeats = self.repeats.lock();
-        let window = repeats.get_mut(service);
+        let mut retry_budgets = self.retry_budgets.lock();
+        let window = retry_budgets.get_mut(service);
         window.is_some_and(|w| w.repeat(Instant::now(), entries as usize))
     }
 
     /// Returns whether an adapter may be preloaded now, and if so records the request.
-    fn may_copy(&self, target: TargetHash) -> bool {
+    fn start_preload(&self, target: TargetHash) -> bool {
         let now = Instant::now();
-        let mut copies = self.copies.lock();
+        let mut preloads = self.preloads.lock();
         let recent = |at: &Instant| now.saturating_duration_since(*at) < PRELOAD_INTERVAL;
-        if copies.get(&target).is_some_and(recent) {
+        if preloads.get(&target).is_some_and(recent) {
             return false;
         }
-        if copies.len() >= MAX_RECENT_PRELOADS {
-            copies.retain(|_, at| recent(at));
+        if preloads.len() >= MAX_RECENT_PRELOADS {
+            preloads.retain(|_, at| recent(at));
         }
-        copies.insert(target, now);
+        preloads.insert(target, now);
         true
     }
 }
@@ -311,25 +314,26 @@
 
 impl Inner {
     /// Records that a request was refused with a retry time.
-    fn expect_back(&self, content: ContentHash) {
+    fn record_refusal(&self, fingerprint: ContentHash) {
         let now = Instant::now();
-        let mut refused = self.refused.lock();
-        if refused.len() >= MAX_RECENT_REFUSALS {
-            refused.retain(|_, at| now.saturating_duration_since(*at) < RETRY_WINDOW);
+        let mut recent_refusals = self.recent_refusals.lock();
+        if recent_refusals.len() >= MAX_RECENT_REFUSALS {
+            recent_refusals
+                .retain(|_, at| now.saturating_duration_since(*at) < RETRY_WINDOW);
         }
-        if refused.len() < MAX_RECENT_REFUSALS {
-            refused.insert(content, now);
+        if recent_refusals.len() < MAX_RECENT_REFUSALS {
+            recent_refusals.insert(fingerprint, now);
         }
     }
 
     /// Returns whether a request is the retry of a recently refused one, and forgets it.
-    fn is_back(&self, content: ContentHash) -> bool {
-        let at = self.refused.lock().remove(&content);
+    fn take_refusal(&self, fingerprint: ContentHash) -> bool {
+        let at = self.recent_refusals.lock().remove(&fingerprint);
         at.is_some_and(|at| at.elapsed() < RETRY_WINDOW)
     }
 }
 
-impl Stop {
+impl Shutdown {
     fn enter(&self, stage: u8) {
         self.stage.store(stage, Ordering::Release);
         self.changed.notify(usize::MAX);
@@ -339,7 +343,7 @@
         self.stage.load(Ordering::Acquire) >= stage
     }
 
-    fn is_leaving(&self) -> bool {
+    fn is_draining(&self) -> bool {
         self.is_past(DRAINING)
     }
 
@@ -348,12 +352,12 @@
     }
 
     /// Waits until shutdown reaches the stage [`CLOSING`].
-    async fn closing(&self) {
+    async fn wait_closing(&self) {
         self.wait(CLOSING).await;
     }
 
     /// Waits until shutdown reaches the stage [`REFUSING`].
-    async fn ending(&self) {
+    async fn wait_refusing(&self) {
         self.wait(REFUSING).await;
     }
 
@@ -368,7 +372,7 @@
     }
 
     /// Waits until no caller connection is open.
-    async fn idle(&self) {
+    async fn wait_no_connections(&self) {
         loop {
             let changed = self.changed.listen();
             if self.connections.load(Ordering::Acquire) == 0 {
--- a/crates/larkspring/src/direct/entry/notices.rs
+++ b/crates/larkspring/src/direct/entry/notices.rs
@@ -20,15 +20,16 @@
     pub(super) fn notice(
         &self,
         head: &Parts,
-        said: &AnswerHead,
+        answer_head: &AnswerHead,
         peer: &Arc<Peer>,
         asked: Instant,
     ) {
         let unknown = self.entry.protocol.unknown_words(&head.headers);
         self.entry.stats.unknown_words(Place::Answer, &unknown);
         let notice = self.entry.protocol.notice(head.status, &head.headers);
-        let of_run = said.incarnation.as_ref().is_none_or(|id| *id == peer.endpoint().id);
-        if said.echo == Echo::Other || !of_run {
+        let of_run =
+            answer_head.incarnation.as_ref().is_none_or(|id| *id == peer.endpoint().id);
+        if answer_head.echo == Echo::Other || !of_run {
             return;
         }
         if notice.is_empty() && peer.rate_limit().is_none() {
@@ -36,7 +37,7 @@
         }
         // A missing rate ends a rate limit only if the answer is certainly the
         // endpoint's.
-        let is_sure = said.echo == Echo::Same;
+        let is_sure = answer_head.echo == Echo::Same;
         let notice = if is_sure { notice } else { notice.without_silence() };
         self.entry.stats.notice(notice);
         let (request, status) = (&*self.caller.id, head.status.as_u16());
--- a/crates/larkspring/src/direct/entry/peer.rs
+++ b/crates/larkspring/src/direct/entry/peer.rs
@@ -32,14 +32,14 @@
     used_up_until: Mutex<Option<Instant>>,
     /// When this record was created.
     since: Instant,
-    rested: Mutex<Vec<Conn>>,
+    idle: Mutex<Vec<Conn>>,
     open: AtomicU32,
     /// Prompt tokens of this entry's requests that are in prefill.
-    reading: AtomicU32,
+    prefill_tokens: AtomicU32,
     /// Until when the endpoint counts as gone, after another run answered at its address.
     gone_until: Mutex<Option<Instant>>,
     quality: Mutex<Quality>,
-    read: Mutex<CachedParts>,
+    cached_parts: Mutex<CachedParts>,
     /// Until when answers to other requests are to be expected on the connections.
     garbles_until: Mutex<Option<Instant>>,
     /// Interrupted requests, kept until it is known whether the endpoint crashed.
@@ -49,7 +49,7 @@
 /// A request whose connection to an endpoint broke before the answer was complete.
 #[derive(Debug)]
 pub(super) struct InterruptedRequest {
-    pub content: ContentHash,
+    pub fingerprint: ContentHash,
     pub id: RequestId,
     /// When the request was sent.
     pub began: Instant,
@@ -60,7 +60,7 @@
 pub(super) struct OpenRequest {
     pub peer: Arc<Peer>,
     /// Prompt tokens of the request that count as being in prefill.
-    reading: AtomicU32,
+    prefill_tokens: AtomicU32,
 }
 
 /// Prompt parts that the endpoint has prefilled for this entry, the latest last.
@@ -103,12 +103,12 @@
             endpoint: ArcSwap::new(endpoint),
             link,
             since: Instant::now(),
-            rested: Mutex::default(),
+            idle: Mutex::default(),
             open: AtomicU32::new(0),
-            reading: AtomicU32::new(0),
+            prefill_tokens: AtomicU32::new(0),
             gone_until: Mutex::default(),
             quality: Mutex::new(Quality::new(Instant::now())),
-            read: Mutex::default(),
+            cached_parts: Mutex::default(),
             garbles_until: Mutex::default(),
             broken: Mutex::default(),
         })
@@ -265,12 +265,12 @@
     /// Counts a request as open until the result is dropped.
     pub fn enter(self: &Arc<Self>) -> OpenRequest {
         self.open.fetch_add(1, Ordering::Relaxed);
-        OpenRequest { peer: self.clone(), reading: AtomicU32::new(0) }
+        OpenRequest { peer: self.clone(), prefill_tokens: AtomicU32::new(0) }
     }
 
     /// Returns the prompt tokens of this entry's requests that are in prefill.
-    pub fn reading(&self) -> u32 {
-        self.reading.load(Ordering::Relaxed)
+    pub fn prefill_tokens(&self) -> u32 {
+        self.prefill_tokens.load(Ordering::Relaxed)
     }
 
     /// Reads or updates the quality record that is kept from the results of attempts.
@@ -278,20 +278,20 @@
         f(&mut self.quality.lock())
     }
 
-    /// Takes an idle connection that can carry a request now. With `once`, for a request
+    /// Takes an idle connection that can carry a request now. With `run_once`, for a request
     /// that must not run twice, stricter limits apply.
-    pub fn take_rested(&self, cx: &mut Context<'_>, once: bool) -> Option<Conn> {
+    pub fn take_idle(&self, cx: &mut Context<'_>, run_once: bool) -> Option<Conn> {
         let now = Instant::now();
-        if once && self.garbles(now) {
+        if run_once && self.garbles(now) {
             return None;
         }
         loop {
-            let mut conn = self.rested.lock().pop()?;
-            let limit = rest_limit(&conn, once);
-            let rested = now.saturating_duration_since(conn.rested_since);
-            if rested >= limit {
-                if once && rested < rest_limit(&conn, false) {
-                    self.rested.lock().insert(0, conn);
+            let mut conn = self.idle.lock().pop()?;
+            let limit = idle_limit(&conn, run_once);
+            let idle = now.saturating_duration_since(conn.rested_since);
+            if idle >= limit {
+                if run_once && idle < idle_limit(&conn, false) {
+                    self.idle.lock().insert(0, conn);
                     return None;
                 }
                 continue;
@@ -303,22 +303,22 @@
     }
 
     /// Adds a connection to the idle pool, if it can carry another request.
-    pub fn rest(&self, mut conn: Conn, cx: &mut Context<'_>) {
+    pub fn add_idle(&self, mut conn: Conn, cx: &mut Context<'_>) {
         if !conn.is_ready(cx) {
             return;
         }
         conn.rested_since = Instant::now();
-        let mut rested = self.rested.lock();
-        if rested.len() < MAX_IDLE_CONNECTIONS {
-            rested.push(conn);
+        let mut idle = self.idle.lock();
+        if idle.len() < MAX_IDLE_CONNECTIONS {
+            idle.push(conn);
         }
     }
 
     /// Closes connections that were idle for too long.
     pub fn sweep(&self) {
         let now = Instant::now();
-        self.rested.lock().retain(|conn| {
-            now.saturating_duration_since(conn.rested_since) < rest_limit(conn, false)
+        self.idle.lock().retain(|conn| {
+            now.saturating_duration_since(conn.rested_since) < idle_limit(conn, false)
         });
     }
 
@@ -326,23 +326,23 @@
     /// closes the idle ones.
     pub fn garbled(&self) {
         *self.garbles_until.lock() = Some(Instant::now() + CORRUPTION_TIMEOUT);
-        self.rested.lock().clear();
+        self.idle.lock().clear();
     }
 
     /// Returns the tokens of a prompt that are probably not in the endpoint's cache.
     pub fn unread_tokens(&self, target: TargetHash, req: &ModelRequest) -> u32 {
-        let read = self.read.lock();
-        let known = req.parts.iter().take_while(|p| read.contains(target, p));
+        let cached = self.cached_parts.lock();
+        let known = req.parts.iter().take_while(|p| cached.contains(target, p));
         let known: u32 = known.map(|p| p.tokens).sum();
         req.prompt_tokens.saturating_sub(known)
     }
 
     /// Records that the endpoint prefills a prompt.
-    pub fn reads(&self, target: TargetHash, req: &ModelRequest) {
-        let mut read = self.read.lock();
+    pub fn record_prompt(&self, target: TargetHash, req: &ModelRequest) {
+        let mut cached = self.cached_parts.lock();
         let shared = req.parts.len().saturating_sub(1);
         for part in &req.parts[..shared] {
-            read.add(target, part);
+            cached.add(target, part);
         }
     }
 
@@ -353,21 +353,21 @@
 
 impl OpenRequest {
     /// Counts tokens of the prompt as in prefill until the answer begins.
-    pub fn reads(&self, tokens: u32) {
-        self.reading.fetch_add(tokens, Ordering::Relaxed);
-        self.peer.reading.fetch_add(tokens, Ordering::Relaxed);
+    pub fn begin_prefill(&self, tokens: u32) {
+        self.prefill_tokens.fetch_add(tokens, Ordering::Relaxed);
+        self.peer.prefill_tokens.fetch_add(tokens, Ordering::Relaxed);
     }
 
     /// Records the end of the prefill.
-    pub fn has_read(&self) {
-        let tokens = self.reading.swap(0, Ordering::Relaxed);
-        self.peer.reading.fetch_sub(tokens, Ordering::Relaxed);
+    pub fn end_prefill(&self) {
+        let tokens = self.prefill_tokens.swap(0, Ordering::Relaxed);
+        self.peer.prefill_tokens.fetch_sub(tokens, Ordering::Relaxed);
     }
 }
 
 impl Drop for OpenRequest {
     fn drop(&mut self) {
-        self.has_read();
+        self.end_prefill();
         self.peer.open.fetch_sub(1, Ordering::Relaxed);
     }
 }
@@ -387,10 +387,10 @@
     }
 }
 
-fn rest_limit(conn: &Conn, once: bool) -> Duration {
+fn idle_limit(conn: &Conn, run_once: bool) -> Duration {
     let said = conn.keep_alive.map(|kept| kept.mul_f64(IDLE_FRACTION));
     let limit = said.unwrap_or(DEFAULT_IDLE_LIMIT);
-    if once {
+    if run_once {
         limit.min(RUN_ONCE_IDLE_LIMIT)
     } else {
         limit
--- a/crates/larkspring/src/direct/entry/place.rs
+++ b/crates/larkspring/src/direct/entry/place.rs
@@ -14,7 +14,7 @@
 use larkspring_core::ids::{AdapterId, Incarnation, Target, VersionId};
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::answer::{after_rest, Reason};
+use super::answer::{retry_after_backoff, Reason};
 use super::attempt::Selection;
 use super::job::Job;
 use super::link::{HoldEnd, HoldRequest};
@@ -49,19 +49,19 @@
 impl Job {
     /// Selects an endpoint and waits until the endpoint can take the request.
     ///
-    /// If no endpoint is available, waits for the duration of [`Job::patience`]. If all
+    /// If no endpoint is available, waits for the duration of [`Job::max_wait`]. If all
     /// are in backoff or have used up their rates, refuses the request at once unless the
     /// first becomes available within the latency objective.
     pub(super) async fn place(&mut self) -> Result<Selection, NoSelection> {
         let mut denials = 0;
         loop {
             let news = self.entry.fleet.news();
-            let placed = match self.try_place().await {
-                Ok(placed) => self.permitted(placed).await,
+            let selection = match self.try_place().await {
+                Ok(selection) => self.permitted(selection).await,
                 Err(e) => Err(e),
             };
-            match &placed {
-                Ok(placed) => self.why = Some(placed.why.clone()),
+            match &selection {
+                Ok(selection) => self.inputs = Some(selection.inputs.clone()),
                 // The next selection leaves out the endpoint whose rate is used up.
                 Err((Reason::RateUsedUp, _)) if denials < MAX_PERMIT_DENIALS => {
                     denials += 1;
@@ -69,30 +69,30 @@
                 }
                 Err(_) => {}
             }
-            let Err((Reason::NoEndpoint, _)) = placed else { return placed };
+            let Err((Reason::NoEndpoint, _)) = selection else { return selection };
             if let Some(back) = self.entry.fleet.first_back(&self.service.name) {
-                if back > self.patience_with_rest() {
-                    return Err((Reason::InBackoff, Some(after_rest(back))));
+                if back > self.max_backoff_wait() {
+                    return Err((Reason::InBackoff, Some(retry_after_backoff(back))));
                 }
                 // Waits for the end of the backoff or for a change of the fleet.
                 within(back, news).await;
                 continue;
             }
-            let patience = self.patience();
-            if patience.is_zero() || within(patience, news).await.is_none() {
-                return placed;
+            let timeout = self.max_wait();
+            if timeout.is_zero() || within(timeout, news).await.is_none() {
+                return selection;
             }
         }
     }
 
     /// Requests a permit for the selected endpoint if it is rate-limited and there is
     /// none.
-    async fn permitted(&self, placed: Selection) -> Result<Selection, NoSelection> {
-        if placed.permit.is_some_and(|permit| permit.holds()) {
-            return Ok(placed);
+    async fn permitted(&self, selection: Selection) -> Result<Selection, NoSelection> {
+        if selection.permit.is_some_and(|permit| permit.holds()) {
+            return Ok(selection);
         }
-        let permit = self.permit(&placed.open.peer).await?;
-        Ok(Selection { permit, ..placed })
+        let permit = self.permit(&selection.open_request.peer).await?;
+        Ok(Selection { permit, ..selection })
     }
 
     /// Requests a permit to send to an endpoint; `None` if the endpoint has no rate
@@ -103,22 +103,22 @@
             PermitOutcome::Granted(permit) => Ok(Some(permit)),
             PermitOutcome::Denied(wait) => {
                 peer.is_used_up(wait);
-                Err((Reason::RateUsedUp, Some(after_rest(wait))))
+                Err((Reason::RateUsedUp, Some(retry_after_backoff(wait))))
             }
         }
     }
 
     /// Returns how long the request may wait for the end of a backoff: no longer than the
     /// latency objective allows, unless the request may have run and so can't be refused.
-    fn patience_with_rest(&self) -> Duration {
+    fn max_backoff_wait(&self) -> Duration {
         match self.history.may_have_run {
-            true => self.patience(),
-            false => self.patience().min(self.objective_left()),
+            true => self.max_wait(),
+            false => self.max_wait().min(self.objective_left()),
         }
     }
 
     async fn try_place(&mut self) -> Result<Selection, NoSelection> {
-        if self.left() < MIN_TIME_LEFT {
+        if self.time_left() < MIN_TIME_LEFT {
             return Err((Reason::TimedOutNotRun, None));
         }
         let model = self.caller.model.clone();
@@ -143,7 +143,7 @@
             Placement::Least => least_running(&views),
             Placement::Cost | Placement::Home => for_any(&views, time),
         };
-        self.placed(&peers, &views, chosen)
+        self.selection(&peers, &views, chosen)
     }
 
     /// Selects an endpoint for a request to the base model alone, which every engine
@@ -168,9 +168,9 @@
             seen.filter(|(view, p)| !view.filling && !is_coming(p)).unzip();
         let chosen = for_any(&views, Duration::ZERO);
         if let Some(at) = chosen {
-            peers[at].reads(base, model);
+            peers[at].record_prompt(base, model);
         }
-        self.placed(&peers, &views, chosen)
+        self.selection(&peers, &views, chosen)
     }
 
     async fn place_adapter(
@@ -186,21 +186,21 @@
             let Some(choice) = self.choose(model, adapter, engine, &passed_over) else {
                 break;
             };
-            self.why = Some(choice.why.clone());
+            self.inputs = Some(choice.inputs.clone());
             passed_over.push(choice.peer.endpoint().id.clone());
             // The permit comes first: without it the adapter might be loaded for nothing.
             match self.permit(&choice.peer).await {
                 Ok(permit) => {
                     holds += 1;
                     match self.hold(choice, model).await {
-                        Ok(placed) => return Ok(Selection { permit, ..placed }),
+                        Ok(selection) => return Ok(Selection { permit, ..selection }),
                         Err(Some(refused)) => last = refused,
                         Err(None) => {}
                     }
                 }
                 Err(refused) => last = refused,
             }
-            if self.left() < MIN_TIME_LEFT {
+            if self.time_left() < MIN_TIME_LEFT {
                 break;
             }
         }
@@ -214,24 +214,25 @@
         choice: AdapterSelection,
         model: &ModelRequest,
     ) -> Result<Selection, Option<NoSelection>> {
-        let AdapterSelection { peer, target, agent, why } = choice;
+        let AdapterSelection { peer, target, agent, inputs } = choice;
         let hash = target.hash();
-        let unread_tokens = why.unread_tokens;
-        let in_time = self.in_time(&why);
+        let unread_tokens = inputs.unread_tokens;
+        let in_time = self.in_time(&inputs);
         let open = peer.enter();
-        let placed = |open, hold| Selection::new(open, Some(target.clone()), why, hold);
+        let selection =
+            |open, hold| Selection::new(open, Some(target.clone()), inputs, hold);
         let link = peer.link.as_ref().filter(|_| agent);
         let Some(link) = link else {
-            peer.reads(hash, model);
-            return Ok(placed(open, None));
+            peer.record_prompt(hash, model);
+            return Ok(selection(open, None));
         };
         let asked = Instant::now();
-        let limit = self.left().saturating_sub(MIN_TIME_LEFT);
+        let limit = self.time_left().saturating_sub(MIN_TIME_LEFT);
         let was = link.holding(hash);
         let resident = was == Some(Holding::Resident);
-        let patience = if resident { limit.min(GRANT_TIMEOUT) } else { limit };
+        let timeout = if resident { limit.min(GRANT_TIMEOUT) } else { limit };
         let need = HoldRequest {
-            priority: self.rank(),
+            priority: self.priority(),
             wait: limit,
             request: &self.caller.id,
             unread_tokens,
@@ -244,7 +245,7 @@
             fleet.leaves(&peer).await;
             HoldEnd::Lost
         };
-        let end = within(patience, future::or(leaves, hold.granted())).await;
+        let end = within(timeout, future::or(leaves, hold.granted())).await;
         let took = asked.elapsed();
         self.waited += took;
         // The engine may have restarted meanwhile; the grant then applies to its new run.
@@ -263,8 +264,8 @@
                 if copy_pays {
                     self.copy_here(&target, model);
                 }
-                peer.reads(hash, model);
-                return Ok(placed(open, Some(hold)));
+                peer.record_prompt(hash, model);
+                return Ok(selection(open, Some(hold)));
             }
             Some(HoldEnd::Refused { reason, retry_after }) => {
                 self.entry.stats.hold("refused");
@@ -281,8 +282,8 @@
         }
         // Sends without a grant: an engine that has evicted the adapter refuses the
         // request.
-        peer.reads(hash, model);
-        Ok(placed(open, Some(hold)))
+        peer.record_prompt(hash, model);
+        Ok(selection(open, Some(hold)))
     }
 
     /// Returns the utility of an answer in time, relative to other requests.
@@ -295,8 +296,8 @@
 
     /// Returns the load time within which the answer can still begin within the
     /// objective.
-    fn in_time(&self, why: &SelectionInputs) -> Duration {
-        let unread = why.reading_tokens + why.unread_tokens;
+    fn in_time(&self, inputs: &SelectionInputs) -> Duration {
+        let unread = inputs.reading_tokens + inputs.unread_tokens;
         self.objective_left().saturating_sub(reading_time(unread))
     }
 
@@ -348,8 +349,8 @@
             Placement::Least => least_running(&views)?,
         };
         let agent = views[at].can_load;
-        let why = SelectionInputs::new(&peers[at], &views, at);
-        Some(AdapterSelection { peer: peers[at].clone(), target, agent, why })
+        let inputs = SelectionInputs::new(&peers[at], &views, at);
+        Some(AdapterSelection { peer: peers[at].clone(), target, agent, inputs })
     }
 
     /// Selects among the endpoints that hold the previous version, while it is allowed.
@@ -375,12 +376,12 @@
             .map(|v| if holds(v) { *v } else { View { can_load: false, ..*v } })
             .collect();
         let at = for_adapter(&open, self.entry.cfg().without)?;
-        let why = SelectionInputs::new(&peers[at], &views, at);
+        let inputs = SelectionInputs::new(&peers[at], &views, at);
         Some(AdapterSelection {
             peer: peers[at].clone(),
             target,
             agent: views[at].can_load,
-            why,
+            inputs,
         })
     }
 
@@ -424,7 +425,7 @@
             return;
         }
         let link = peer.and_then(|p| p.link.clone());
-        let Some(link) = link.filter(|_| self.entry.may_copy(target.hash())) else {
+        let Some(link) = link.filter(|_| self.entry.start_preload(target.hash())) else {
             return;
         };
         let need = HoldRequest {
@@ -454,7 +455,7 @@
         peers
     }
 
-    fn placed(
+    fn selection(
         &self,
         peers: &[Arc<Peer>],
         views: &[View],
@@ -463,8 +464,8 @@
         let Some(at) = at else {
             return Err((Reason::NoEndpoint, None));
         };
-        let why = SelectionInputs::new(&peers[at], views, at);
-        Ok(Selection::new(peers[at].enter(), None, why, None))
+        let inputs = SelectionInputs::new(&peers[at], views, at);
+        Ok(Selection::new(peers[at].enter(), None, inputs, None))
     }
 
     fn log_hold(&self, peer: &Peer, reason: &str, took: Duration) {
@@ -486,7 +487,7 @@
     target: Target,
     /// Whether a hold is requested from the endpoint's agent first.
     agent: bool,
-    why: SelectionInputs,
+    inputs: SelectionInputs,
 }
 
 fn choose_random(views: &[View]) -> Option<usize> {
--- a/crates/larkspring/src/direct/entry/relay.rs
+++ b/crates/larkspring/src/direct/entry/relay.rs
@@ -30,9 +30,9 @@
 pub(super) struct Relay {
     /// The request, kept if the stream may be resumed at another endpoint.
     job: Option<Box<Job>>,
-    ends: Arc<CrashDetector>,
+    crashes: Arc<CrashDetector>,
     id: String,
-    content: ContentHash,
+    fingerprint: ContentHash,
     /// The run whose answer is relayed.
     endpoint: Incarnation,
     from: AnswerSource,
@@ -67,10 +67,10 @@
     pub fn new(job: Job, open: OpenAnswer, resumable: bool, is_success: bool) -> Self {
         let events = resumable.then(|| EventSplitter::after(job.resume_after.clone()));
         Self {
-            ends: job.entry.ends.clone(),
+            crashes: job.entry.crashes.clone(),
             id: job.caller.id.clone(),
-            content: job.content,
-            endpoint: open.placed.open.peer.endpoint().id.clone(),
+            fingerprint: job.fingerprint,
+            endpoint: open.selection.open_request.peer.endpoint().id.clone(),
             from: AnswerSource::Endpoint(Box::new(open)),
             events,
             deadline: Timer::at(job.deadline),
@@ -159,10 +159,10 @@
         else {
             return Step::End;
         };
-        let peer = open.placed.open.peer.clone();
-        peer.rest(open.conn, cx);
+        let peer = open.selection.open_request.peer.clone();
+        peer.add_idle(open.conn, cx);
         if self.is_success {
-            self.ends.answered(self.content);
+            self.crashes.answered(self.fingerprint);
         }
         match self.events.as_mut().map(EventSplitter::rest) {
             Some(rest) if !rest.is_empty() => Step::Data(rest),
@@ -174,8 +174,13 @@
     fn broken(&mut self, cause: &str) -> Step {
         let from = std::mem::replace(&mut self.from, AnswerSource::Ended);
         if let AnswerSource::Endpoint(open) = &from {
-            let placed = &open.placed;
-            self.ends.broke(&placed.open.peer, self.content, &self.id, placed.began);
+            let selection = &open.selection;
+            self.crashes.broke(
+                &selection.open_request.peer,
+                self.fingerprint,
+                &self.id,
+                selection.began,
+            );
         }
         let (AnswerSource::Endpoint(open), Some(events)) = (from, self.events.as_mut())
         else {
@@ -184,13 +189,13 @@
         let Some(mut job) = self.job.take() else {
             return Step::Interrupted(cause.into());
         };
-        let peer = open.placed.open.peer.clone();
+        let peer = open.selection.open_request.peer.clone();
         // Closes the connection before the stream is resumed at another endpoint.
         drop(open);
         events.forget_rest();
         job.resume_after = events.last.clone();
         peer.quality(|q| q.bad(Instant::now()));
-        if job.after(AttemptEnd::Unclear, &peer) != Next::Elsewhere {
+        if job.record_attempt(AttemptEnd::Unclear, &peer) != Next::Elsewhere {
             return Step::Interrupted(cause.into());
         }
         if logs::allows(Line::Attempt) {
@@ -198,7 +203,7 @@
             tracing::info!(
                 event = "stream resumed",
                 request = self.id,
-                content = logs::hash(self.content),
+                content = logs::hash(self.fingerprint),
                 endpoint = %self.endpoint,
                 cause,
                 last,
@@ -213,7 +218,7 @@
             return Step::Interrupted("no other endpoint resumed the stream".into());
         };
         self.job = Some(job);
-        self.endpoint = open.placed.open.peer.endpoint().id.clone();
+        self.endpoint = open.selection.open_request.peer.endpoint().id.clone();
         self.from = AnswerSource::Endpoint(Box::new(open));
         Step::Continue
     }
@@ -224,7 +229,7 @@
             tracing::warn!(
                 event = "answer broke off",
                 request = self.id,
-                content = logs::hash(self.content),
+                content = logs::hash(self.fingerprint),
                 endpoint = %self.endpoint,
                 cause,
                 sent,
@@ -261,7 +266,7 @@
 
 /// Resumes a stream at another endpoint.
 async fn resume(mut job: Box<Job>) -> Option<(Box<Job>, OpenAnswer)> {
-    let answered = job.attempts().await.ok()?;
+    let answered = job.run_attempts().await.ok()?;
     if !answered.head.status.is_success() {
         return None;
     }
--- a/crates/larkspring/src/direct/entry/serve.rs
+++ b/crates/larkspring/src/direct/entry/serve.rs
@@ -24,7 +24,7 @@
 
 use super::answer::AnswerBody;
 use super::job;
-use super::{Inner, Stop};
+use super::{Inner, Shutdown};
 use crate::direct::logs::{self, Line};
 use crate::exec;
 
@@ -40,7 +40,7 @@
 /// Accepts connections until shutdown reaches the closing stage.
 pub(super) async fn accept(listener: TcpListener, entry: Arc<Inner>) {
     let closing = async {
-        entry.stop.closing().await;
+        entry.shutdown.wait_closing().await;
         None
     };
     let mut closing = std::pin::pin!(closing);
@@ -49,7 +49,7 @@
         match future::or(&mut closing, accepted).await {
             None => return,
             Some(Ok((sock, _))) => {
-                let open = entry.stop.connections.load(Ordering::Acquire);
+                let open = entry.shutdown.connections.load(Ordering::Acquire);
                 if open >= entry.cfg().max_connections {
                     if logs::allows(Line::Caller) {
                         tracing::warn!(event = "connection refused", open);
@@ -143,7 +143,7 @@
 /// Waits until a time-out or shutdown ends the connection.
 async fn watch(entry: &Inner, phase: &Phase) -> ConnectionEnd {
     let closing = async {
-        entry.stop.closing().await;
+        entry.shutdown.wait_closing().await;
         ConnectionEnd::Closing
     };
     let bounded = async {
@@ -203,16 +203,16 @@
 
 impl ConnectionCount {
     fn new(entry: &Arc<Inner>) -> Self {
-        entry.stop.connections.fetch_add(1, Ordering::AcqRel);
+        entry.shutdown.connections.fetch_add(1, Ordering::AcqRel);
         Self(entry.clone())
     }
 }
 
 impl Drop for ConnectionCount {
     fn drop(&mut self) {
-        let stop: &Stop = &self.0.stop;
-        stop.connections.fetch_sub(1, Ordering::AcqRel);
-        stop.changed.notify(usize::MAX);
+        let shutdown: &Shutdown = &self.0.shutdown;
+        shutdown.connections.fetch_sub(1, Ordering::AcqRel);
+        shutdown.changed.notify(usize::MAX);
     }
 }
 
--- a/crates/larkspring/src/direct/entry/view.rs
+++ b/crates/larkspring/src/direct/entry/view.rs
@@ -29,7 +29,7 @@
             can_load: false,
             filling: false,
             prompt_tokens: 0,
-            reading: peer.reading(),
+            reading: peer.prefill_tokens(),
             quality: if without.uses(Mechanism::Quality) {
                 quality
             } else {
