--- a/crates/larkspring/src/direct/entry/admit.rs
+++ b/crates/larkspring/src/direct/entry/admit.rs
@@ -48,12 +48,12 @@
         if route.public {
             return Ok(found);
         }
-        if !self.trusts_keys() {
+        if !self.has_fresh_keys() {
             return Err(Reason::StaleKeys);
         }
         match (found, credential) {
             (Some(workspace), _) => Ok(Some(workspace)),
-            (None, Credential::Key(_)) if !self.trusts_absence() => {
+            (None, Credential::Key(_)) if !self.is_absence_certain() => {
                 Err(Reason::StaleKeys)
             }
             (None, Credential::Key(_)) => Err(Reason::UnknownKey),
@@ -62,7 +62,7 @@
     }
 
     /// Returns whether the known keys are fresh enough to authenticate with.
-    pub(super) fn trusts_keys(&self) -> bool {
+    pub(super) fn has_fresh_keys(&self) -> bool {
         let Some(trusted) = self.cfg().process.trusted() else { return true };
         self.beliefs.proof_age(Kind::Routing).is_some_and(|age| age <= trusted)
     }
@@ -70,8 +70,8 @@
     /// Returns the reason for refusing a request without a matching route. If the routing
     /// may be outdated, the route may have been declared since, so the request may be
     /// retried.
-    pub(super) fn no_route(&self) -> Reason {
-        match self.trusts_absence() {
+    pub(super) fn missing_route_reason(&self) -> Reason {
+        match self.is_absence_certain() {
             true => Reason::NoRoute,
             false => Reason::StaleRouting,
         }
@@ -79,7 +79,7 @@
 
     /// Returns whether the routing is so fresh that a key or route missing from it is
     /// missing from every routing that may be in force.
-    fn trusts_absence(&self) -> bool {
+    fn is_absence_certain(&self) -> bool {
         let in_force = self.cfg().process.in_force;
         self.beliefs.proof_age(Kind::Routing).is_some_and(|age| age <= in_force)
     }
@@ -126,7 +126,7 @@
 
 impl Charge {
     /// Keeps the units as spent, since the request may have run.
-    pub fn spend(&mut self) {
+    pub fn mark_spent(&mut self) {
         self.spent = true;
     }
 }
@@ -134,7 +134,7 @@
 impl Drop for Charge {
     fn drop(&mut self) {
         if !self.spent {
-            self.limits.give_back(&self.workspace, self.cost);
+            self.limits.return_units(&self.workspace, self.cost);
         }
     }
 }
--- a/crates/larkspring/src/direct/entry/attempt.rs
+++ b/crates/larkspring/src/direct/entry/attempt.rs
@@ -104,7 +104,7 @@
             AttemptOutcome::NoAnswer(end) => end_name(*end),
         };
         self.entry.stats.attempt(end);
-        self.note(&ended, &peer, sent);
+        self.record_quality(&ended, &peer, sent);
         ended
     }
 
@@ -116,10 +116,10 @@
             match self.exchange(conn, &selection, peer).await {
                 // The idle connection was closed; the endpoint itself may be healthy.
                 Err(SendError::Unsent(..)) if peer.is_open() => {}
-                got => return self.sorted(got, selection, peer).await,
+                result => return self.classify_result(result, selection, peer).await,
             }
         }
-        let got = match Conn::open(peer.endpoint().addr, CONNECT_TIMEOUT).await {
+        let result = match Conn::open(peer.endpoint().addr, CONNECT_TIMEOUT).await {
             Ok(conn) => {
                 self.entry.stats.connection("new");
                 self.exchange(conn, &selection, peer).await
@@ -129,7 +129,7 @@
                 Err(e)
             }
         };
-        self.sorted(got, selection, peer).await
+        self.classify_result(result, selection, peer).await
     }
 
     /// Sends the request on a connection and returns the head of the answer.
@@ -147,11 +147,11 @@
             return Err(SendError::Unsent(endpoint.addr.to_string(), cause));
         }
         if peer.rate_limit().is_some() {
-            if !selection.permit.is_some_and(|permit| permit.holds()) {
+            if !selection.permit.is_some_and(|permit| permit.is_valid()) {
                 let cause = "the endpoint is rate-limited and no permit is valid".into();
                 return Err(SendError::Unsent(endpoint.addr.to_string(), cause));
             }
-            self.entry.stats.rated_send(self.kind_of_send());
+            self.entry.stats.rated_send(self.send_label());
         }
         selection.open_request.end_prefill();
         selection.open_request.begin_prefill(selection.inputs.unread_tokens);
@@ -181,18 +181,20 @@
         res.map(|res| (res, conn))
     }
 
-    async fn sorted(
+    async fn classify_result(
         &mut self,
-        got: Result<(Response<Incoming>, Conn), SendError>,
+        result: Result<(Response<Incoming>, Conn), SendError>,
         selection: Selection,
         peer: &Arc<Peer>,
     ) -> AttemptOutcome {
-        let (end, e) = match got {
-            Ok((res, conn)) => return self.answered(res, conn, selection, peer).await,
+        let (end, e) = match result {
+            Ok((res, conn)) => {
+                return self.classify_answer(res, conn, selection, peer).await
+            }
             Err(e @ SendError::Unsent(..)) => (AttemptEnd::Unsent, e),
             Err(e @ SendError::TakenBack(..)) => (AttemptEnd::Unclear, e),
             Err(e) => {
-                self.entry.crashes.broke(
+                self.entry.crashes.connection_broke(
                     peer,
                     self.fingerprint,
                     &self.caller.id,
@@ -207,7 +209,7 @@
 
     /// Returns the metric label that tells first sends, retries and resumed streams
     /// apart.
-    fn kind_of_send(&self) -> &'static str {
+    fn send_label(&self) -> &'static str {
         match (self.history.attempts, &self.resume_after) {
             (0, _) => "first",
             (_, Some(_)) => "goes on",
@@ -255,7 +257,7 @@
     }
 
     /// Classifies an answer by its head.
-    async fn answered(
+    async fn classify_answer(
         &mut self,
         res: Response<Incoming>,
         conn: Conn,
@@ -267,9 +269,9 @@
         let answer_head = self.entry.protocol.answer(&head.headers, &self.caller.id);
         let endpoint = peer.endpoint();
         let status = head.status;
-        self.notice(&head, &answer_head, peer, selection.began);
+        self.apply_notice(&head, &answer_head, peer, selection.began);
         if answer_head.echo == Echo::Other {
-            peer.garbled();
+            peer.mark_corrupted();
             log_attempt(self, peer, AttemptEnd::Unclear, "answer to another request");
             return AttemptOutcome::NoAnswer(AttemptEnd::Unclear);
         }
@@ -277,10 +279,10 @@
             let same = answer_head.incarnation.is_none_or(|id| id == endpoint.id);
             let end = if same { AttemptEnd::Lacking } else { AttemptEnd::Moved };
             if end == AttemptEnd::Moved {
-                self.entry.fleet.is_gone(peer);
+                self.entry.fleet.mark_gone(peer);
             }
             match (&peer.link, &selection.target) {
-                (Some(link), Some(target)) => link.lacks(target.hash()),
+                (Some(link), Some(target)) => link.record_missing(target.hash()),
                 // An engine that lacks its base model can't run any request for a while.
                 _ if end == AttemptEnd::Lacking => {
                     peer.quality(|q| q.no_connection(Instant::now()));
@@ -288,12 +290,12 @@
                 _ => {}
             }
             log_attempt(self, peer, end, "misdirected");
-            self.spent(conn, body, peer).await;
+            self.drain_refusal(conn, body, peer).await;
             return AttemptOutcome::NoAnswer(end);
         }
         if answer_head.not_run {
             log_attempt(self, peer, AttemptEnd::Rejected, status.as_str());
-            self.spent(conn, body, peer).await;
+            self.drain_refusal(conn, body, peer).await;
             return AttemptOutcome::NoAnswer(AttemptEnd::Rejected);
         }
         if status.is_success()
@@ -306,7 +308,7 @@
             && body.size_hint().upper().is_some_and(|len| len <= MAX_BUFFERED_ANSWER);
         let open = OpenAnswer { body, conn, selection };
         let payload = match whole {
-            true => match self.whole(open, &head, peer).await {
+            true => match self.read_whole(open, &head, peer).await {
                 Some(bytes) => Ok(bytes),
                 None => return AttemptOutcome::NoAnswer(AttemptEnd::Unclear),
             },
@@ -320,7 +322,7 @@
     }
 
     /// Reads an answer to its end; `None` if the answer is interrupted.
-    async fn whole(
+    async fn read_whole(
         &self,
         open: OpenAnswer,
         head: &Parts,
@@ -334,14 +336,19 @@
         match read {
             Ok(bytes) => {
                 if head.status.is_success() {
-                    self.entry.crashes.answered(self.fingerprint);
+                    self.entry.crashes.record_answer(self.fingerprint);
                 }
                 conn.learn(&head.headers);
                 recycle(peer, conn).await;
                 Some(bytes)
             }
             Err(e) => {
-                self.entry.crashes.broke(peer, self.fingerprint, &self.caller.id, began);
+                self.entry.crashes.connection_broke(
+                    peer,
+                    self.fingerprint,
+                    &self.caller.id,
+                    began,
+                );
                 log_attempt(self, peer, AttemptEnd::Unclear, &e.to_string());
                 None
             }
@@ -349,7 +356,7 @@
     }
 
     /// Reads the body of a refusal, so that the connection can be reused.
-    async fn spent(&self, mut conn: Conn, body: Incoming, peer: &Arc<Peer>) {
+    async fn drain_refusal(&self, mut conn: Conn, body: Incoming, peer: &Arc<Peer>) {
         let addr = peer.endpoint().addr;
         if conn.read(addr, body, MAX_BUFFERED_ANSWER as usize).await.is_ok() {
             recycle(peer, conn).await;
@@ -357,7 +364,7 @@
     }
 
     /// Records the attempt's result in the endpoint's quality.
-    fn note(&self, ended: &AttemptOutcome, peer: &Arc<Peer>, sent: Instant) {
+    fn record_quality(&self, ended: &AttemptOutcome, peer: &Arc<Peer>, sent: Instant) {
         let now = Instant::now();
         match ended {
             AttemptOutcome::Answered(_) => peer.quality(|q| q.good(now, now - sent)),
--- a/crates/larkspring/src/direct/entry/directory.rs
+++ b/crates/larkspring/src/direct/entry/directory.rs
@@ -165,7 +165,7 @@
     /// is asked reads the store by itself, and while the store is unavailable no agent
     /// has a usable state.
     fn agents(&self) -> Vec<Arc<Peer>> {
-        if self.fleet.entries().1 < MIN_ENTRIES {
+        if self.fleet.entry_counts().1 < MIN_ENTRIES {
             return Vec::new();
         }
         self.first_of(&self.hall, MAX_AGENTS)
--- a/crates/larkspring/src/direct/entry/ends.rs
+++ b/crates/larkspring/src/direct/entry/ends.rs
@@ -36,7 +36,7 @@
     findings: Arc<Findings>,
     stats: Arc<Stats>,
     /// Crashes detected by this entry, the latest last.
-    seen: Mutex<VecDeque<DetectedCrash>>,
+    crashes: Mutex<VecDeque<DetectedCrash>>,
     /// The live agents at the last check for agents that lack a report.
     agents: Mutex<Vec<AgentConnection>>,
 }
@@ -49,7 +49,7 @@
     fingerprint: ContentHash,
     end: End,
     /// Agents to which the crash was reported.
-    told: Vec<AgentConnection>,
+    reported_to: Vec<AgentConnection>,
 }
 
 /// Time-out of a probe of the endpoint's port. Allows for one lost packet, which the
@@ -77,17 +77,17 @@
         findings: Arc<Findings>,
         stats: Arc<Stats>,
     ) -> Arc<Self> {
-        let (seen, agents) = (Mutex::default(), Mutex::default());
-        Arc::new(Self { fleet, findings, stats, seen, agents })
+        let (crashes, agents) = (Mutex::default(), Mutex::default());
+        Arc::new(Self { fleet, findings, stats, crashes, agents })
     }
 
     /// Returns whether requests with a fingerprint are quarantined.
-    pub fn refuses(&self, fingerprint: ContentHash) -> bool {
+    pub fn is_quarantined(&self, fingerprint: ContentHash) -> bool {
         self.findings.standing(fingerprint) == Standing::Refused
     }
 
     /// Records that a request's connection broke before the answer was complete.
-    pub fn broke(
+    pub fn connection_broke(
         self: &Arc<Self>,
         peer: &Arc<Peer>,
         fingerprint: ContentHash,
@@ -96,32 +96,32 @@
     ) {
         let endpoint = peer.endpoint();
         // A draining endpoint exits as planned, whatever requests it runs.
-        if endpoint.leaving || !self.fleet.lists(&endpoint.id) {
+        if endpoint.leaving || !self.fleet.contains(&endpoint.id) {
             return;
         }
-        if peer.broke(InterruptedRequest {
+        if peer.record_interrupted(InterruptedRequest {
             fingerprint,
             id: id.into(),
             began,
             at: Instant::now(),
         }) {
-            exec::spawn(self.clone().look(peer.clone())).detach();
+            exec::spawn(self.clone().probe(peer.clone())).detach();
         }
     }
 
     /// Records a complete answer, which clears the suspicion against its request.
-    pub fn answered(&self, fingerprint: ContentHash) {
+    pub fn record_answer(&self, fingerprint: ContentHash) {
         let Some(cleared) = self.findings.answered(fingerprint) else { return };
-        self.seen.lock().retain(|seen| seen.fingerprint != fingerprint);
-        let told = wire::Findings { findings: vec![cleared] };
-        for (_, link) in self.homes(fingerprint) {
+        self.crashes.lock().retain(|crashes| crashes.fingerprint != fingerprint);
+        let reported_to = wire::Findings { findings: vec![cleared] };
+        for (_, link) in self.counting_agents(fingerprint) {
             // An agent that can't be reached keeps suspecting the request.
-            link.found(told.clone());
+            link.send_crash_reports(reported_to.clone());
         }
     }
 
     /// Updates the metrics of quarantined and suspected requests.
-    pub fn show(&self) {
+    pub fn update_metrics(&self) {
         self.findings.show();
     }
 
@@ -129,43 +129,44 @@
     pub async fn run(self: Arc<Self>) {
         loop {
             Timer::after(REPORT_INTERVAL).await;
-            let recent = |seen: &DetectedCrash| seen.end.at.elapsed() < REPORT_PERIOD;
-            self.seen.lock().retain(recent);
+            let recent =
+                |crashes: &DetectedCrash| crashes.end.at.elapsed() < REPORT_PERIOD;
+            self.crashes.lock().retain(recent);
             if self.agents_changed() {
-                self.tell();
+                self.report();
             }
         }
     }
 
     /// Finds out whether an endpoint crashed, and counts the crash against its
     /// interrupted requests.
-    async fn look(self: Arc<Self>, peer: Arc<Peer>) {
-        let looked = Instant::now();
-        let ended = self.has_ended(&peer, looked).await;
-        let broken = peer.take_broken();
+    async fn probe(self: Arc<Self>, peer: Arc<Peer>) {
+        let probed = Instant::now();
+        let crashed = self.has_crashed(&peer, probed).await;
+        let interrupted = peer.take_interrupted();
         let endpoint = peer.endpoint();
         if logs::allows(Line::Belief) {
             tracing::info!(
-                event = if ended { "endpoint ended" } else { "endpoint did not end" },
+                event = if crashed { "endpoint ended" } else { "endpoint did not end" },
                 endpoint = %endpoint.id,
-                took_ms = looked.elapsed().as_millis() as u64,
-                broken = broken.len(),
+                took_ms = probed.elapsed().as_millis() as u64,
+                broken = interrupted.len(),
             );
         }
-        self.stats.look(ended);
-        if !ended {
+        self.stats.look(crashed);
+        if !crashed {
             return;
         }
         let run = xxh3_64(endpoint.id.as_bytes());
-        for InterruptedRequest { fingerprint, id, began, at } in broken {
+        for InterruptedRequest { fingerprint, id, began, at } in interrupted {
             let attempt = xxh3_64_with_seed(id.as_bytes(), run);
-            self.saw(fingerprint, End { attempt, began, at });
+            self.record_crash(fingerprint, End { attempt, began, at });
         }
-        self.tell();
+        self.report();
     }
 
     /// Returns whether an endpoint crashed while its VM kept running.
-    async fn has_ended(&self, peer: &Arc<Peer>, since: Instant) -> bool {
+    async fn has_crashed(&self, peer: &Arc<Peer>, since: Instant) -> bool {
         let addr = peer.endpoint().addr;
         match connect(&addr.to_string(), PROBE_TIMEOUT).await {
             Err(HttpError::Refused(_)) => return true,
@@ -180,17 +181,17 @@
             Err(_) => {}
         }
         // The endpoint may have restarted and listen on the port again.
-        within(NEXT_RUN_TIMEOUT, self.fleet.next_run(peer, since)).await.is_some()
+        within(NEXT_RUN_TIMEOUT, self.fleet.wait_replaced(peer, since)).await.is_some()
     }
 
     /// Keeps a crash for the agents, and counts it in this entry too, in case no agent is
     /// live.
-    fn saw(&self, fingerprint: ContentHash, end: End) {
-        let mut seen = self.seen.lock();
-        if seen.len() >= MAX_DETECTED_CRASHES {
-            seen.pop_front();
+    fn record_crash(&self, fingerprint: ContentHash, end: End) {
+        let mut crashes = self.crashes.lock();
+        if crashes.len() >= MAX_DETECTED_CRASHES {
+            crashes.pop_front();
         }
-        seen.push_back(DetectedCrash { fingerprint, end, told: Vec::new() });
+        crashes.push_back(DetectedCrash { fingerprint, end, reported_to: Vec::new() });
         self.findings.ended(fingerprint, end);
     }
 
@@ -199,28 +200,28 @@
     /// Ranking all agents for each crash is too expensive to be done each second without
     /// need.
     fn agents_changed(&self) -> bool {
-        if self.seen.lock().is_empty() {
+        if self.crashes.lock().is_empty() {
             return false;
         }
         let links = self.fleet.live_links();
         let mut agents: Vec<_> =
-            links.iter().map(|(addr, link)| (*addr, link.connection_number())).collect();
+            links.iter().map(|(addr, link)| (*addr, link.connection_count())).collect();
         agents.sort_unstable();
         std::mem::replace(&mut *self.agents.lock(), agents.clone()) != agents
     }
 
     /// Reports each crash to the agents of its fingerprint that lack the report.
-    fn tell(&self) {
-        let mut seen = self.seen.lock();
-        for seen in seen.iter_mut() {
-            for (addr, link) in self.homes(seen.fingerprint) {
-                let key = (addr, link.connection_number());
-                if seen.told.contains(&key) {
+    fn report(&self) {
+        let mut crashes = self.crashes.lock();
+        for crashes in crashes.iter_mut() {
+            for (addr, link) in self.counting_agents(crashes.fingerprint) {
+                let key = (addr, link.connection_count());
+                if crashes.reported_to.contains(&key) {
                     continue;
                 }
-                let ends = vec![write_end(seen.fingerprint, &seen.end)];
-                if link.ended_under(wire::EndedUnder { ends }) {
-                    seen.told.push(key);
+                let ends = vec![write_end(crashes.fingerprint, &crashes.end)];
+                if link.report_crashes(wire::EndedUnder { ends }) {
+                    crashes.reported_to.push(key);
                 }
             }
         }
@@ -228,7 +229,7 @@
 
     /// Returns the agents that count the crashes of a fingerprint. Entries agree on them
     /// without communicating.
-    fn homes(&self, fingerprint: ContentHash) -> Vec<(SocketAddr, Arc<Link>)> {
+    fn counting_agents(&self, fingerprint: ContentHash) -> Vec<(SocketAddr, Arc<Link>)> {
         let links = self.fleet.live_links().into_iter();
         let named = links.map(|(addr, link)| (addr.to_string().into(), addr, link));
         let ranked = ranked(fingerprint, named.collect(), |(name, _, _)| name);
--- a/crates/larkspring/src/direct/entry/fleet.rs
+++ b/crates/larkspring/src/direct/entry/fleet.rs
@@ -16,7 +16,7 @@
 use parking_lot::Mutex;
 use smol::{Task, Timer};
 
-use super::link::{engine_of, EntryIdentity, Link, LinkEvents, MessageSinks};
+use super::link::{engine_declaration, EntryIdentity, Link, LinkEvents, MessageSinks};
 use super::peer::Peer;
 use crate::direct::beliefs::Beliefs;
 use crate::direct::logs::{self, Line};
@@ -25,19 +25,19 @@
 /// The endpoints of all services, and the connections to the agents beside them.
 pub(super) struct Fleet {
     beliefs: Arc<Beliefs>,
-    who: EntryIdentity,
+    identity: EntryIdentity,
     agent_port: u16,
     peers: ArcSwap<Peers>,
     links: Mutex<HashMap<SocketAddr, MaintainedLink>>,
-    news: Arc<Event>,
+    availability_changed: Arc<Event>,
     /// Notified when an agent reports another run of its engine, that the engine drains,
     /// or another rate limit.
-    runs: Arc<Event>,
-    /// Notified when another run answers at an endpoint's address. Separate from `news`,
+    run_changed: Arc<Event>,
+    /// Notified when another run answers at an endpoint's address. Separate from `changes`,
     /// which wakes every request that waits for an endpoint.
-    moved: Event,
+    address_changed: Event,
     /// Receivers of the agents' reports.
-    told: MessageSinks,
+    sinks: MessageSinks,
     /// Availability of endpoints that are not listed now. An endpoint whose listing
     /// expired while the store was unavailable is listed again later and may still be
     /// draining.
@@ -69,20 +69,20 @@
     /// Creates a fleet without endpoints.
     pub fn new(
         beliefs: Arc<Beliefs>,
-        who: EntryIdentity,
+        identity: EntryIdentity,
         agent_port: u16,
-        told: MessageSinks,
+        sinks: MessageSinks,
     ) -> Arc<Self> {
         Arc::new(Self {
             beliefs,
-            who,
+            identity,
             agent_port,
             peers: ArcSwap::default(),
             links: Mutex::default(),
-            news: Arc::default(),
-            runs: Arc::default(),
-            moved: Event::new(),
-            told,
+            availability_changed: Arc::default(),
+            run_changed: Arc::default(),
+            address_changed: Event::new(),
+            sinks,
             unlisted: Mutex::default(),
             listed: Mutex::default(),
         })
@@ -91,15 +91,16 @@
     /// Applies changes of the platform's list and of the agents' reports, for ever.
     pub async fn follow(self: Arc<Self>) {
         loop {
-            let (changed, runs) = (self.beliefs.changed(), self.runs.listen());
+            let (changed, run_changed) =
+                (self.beliefs.changed(), self.run_changed.listen());
             self.rebuild();
-            future::or(changed, runs).await;
+            future::or(changed, run_changed).await;
         }
     }
 
     /// Returns the run that has replaced `peer` at its address, or `peer` itself.
-    pub fn present(&self, peer: &Arc<Peer>) -> Arc<Peer> {
-        let next = peer.followed_by();
+    pub fn current_run(&self, peer: &Arc<Peer>) -> Arc<Peer> {
+        let next = peer.replaced_by();
         let next = next.and_then(|run| self.peers.load().by_id.get(&run.id).cloned());
         next.unwrap_or_else(|| peer.clone())
     }
@@ -109,13 +110,13 @@
         loop {
             Timer::after(SWEEP_INTERVAL).await;
             for peer in self.peers.load().by_id.values() {
-                peer.sweep();
+                peer.close_expired();
             }
         }
     }
 
     /// Returns the endpoints of a service that may be sent a request now.
-    pub fn open(&self, service: &str) -> Vec<Arc<Peer>> {
+    pub fn available(&self, service: &str) -> Vec<Arc<Peer>> {
         let peers = self.peers.load();
         let all = peers.by_service.get(service).map_or(&[][..], |all| all);
         all.iter().filter(|p| p.takes_request()).cloned().collect()
@@ -123,27 +124,28 @@
 
     /// Returns the time until the first endpoint of a service may be sent a request
     /// again. `None` if an endpoint that is not draining may be sent a request now.
-    pub fn first_back(&self, service: &str) -> Option<Duration> {
+    pub fn next_available_in(&self, service: &str) -> Option<Duration> {
         let peers = self.peers.load();
         let all = peers.by_service.get(service)?;
-        let staying = all.iter().filter(|p| p.is_staying());
-        let back: Option<Vec<_>> = staying.map(|p| p.back_in()).collect();
-        back?.into_iter().min()
+        let in_service = all.iter().filter(|p| p.stays_in_service());
+        let available_in: Option<Vec<_>> =
+            in_service.map(|p| p.unavailable_for()).collect();
+        available_in?.into_iter().min()
     }
 
     /// Applies a notice about an endpoint from one of its answers or from its agent.
-    pub fn hear(
+    pub fn apply_notice(
         &self,
         peer: &Peer,
         asked: Instant,
         notice: Notice,
         source: NoticeSource<'_>,
     ) {
-        let news = peer.hear(asked, notice);
-        log_news(peer, notice, news, source);
-        if news.leaves || news.rests {
+        let changes = peer.apply_notice(asked, notice);
+        log_notice(peer, notice, changes, source);
+        if changes.leaves || changes.rests {
             // Wakes requests that wait for an adapter there, so that they go elsewhere.
-            self.news.notify(usize::MAX);
+            self.availability_changed.notify(usize::MAX);
         }
     }
 
@@ -152,7 +154,7 @@
         let live = |p: &&Arc<Peer>| p.link.as_ref().is_some_and(|link| link.is_live());
         let peers = self.peers.load();
         let in_hall = peers.by_id.values().filter(|p| *p.endpoint().hall == *hall);
-        in_hall.filter(live).filter(|p| p.is_staying()).cloned().collect()
+        in_hall.filter(live).filter(|p| p.stays_in_service()).cloned().collect()
     }
 
     /// Returns the connection to the agent that ranks first for a run, whether the agent
@@ -164,15 +166,16 @@
         without: Option<&Arc<Link>>,
     ) -> Option<Arc<Link>> {
         let links = self.links.lock();
-        let weighed = |addr: &SocketAddr| match addr.ip() {
+        let weight_of = |addr: &SocketAddr| match addr.ip() {
             IpAddr::V4(ip) => weight(&ip.octets(), run),
             IpAddr::V6(ip) => weight(&ip.octets(), run),
         };
         let is_left_out =
             |link: &Arc<Link>| without.is_some_and(|w| Arc::ptr_eq(w, link));
-        let ranked = links.iter().filter(|(_, kept)| !is_left_out(&kept.link));
-        let first = ranked.max_by_key(|(addr, _)| weighed(addr));
-        first.map(|(_, kept)| kept.link.clone())
+        let ranked =
+            links.iter().filter(|(_, maintained)| !is_left_out(&maintained.link));
+        let first = ranked.max_by_key(|(addr, _)| weight_of(addr));
+        first.map(|(_, maintained)| maintained.link.clone())
     }
 
     /// Returns the halls that have endpoints, sorted.
@@ -186,47 +189,48 @@
     /// Returns the addresses of all live agents and the connections to them.
     pub fn live_links(&self) -> Vec<(SocketAddr, Arc<Link>)> {
         let links = self.links.lock();
-        let live = links.iter().filter(|(_, kept)| kept.link.is_live());
-        live.map(|(addr, kept)| (*addr, kept.link.clone())).collect()
+        let live = links.iter().filter(|(_, maintained)| maintained.link.is_live());
+        live.map(|(addr, maintained)| (*addr, maintained.link.clone())).collect()
     }
 
     /// Returns a listener for the next change that may make an endpoint usable.
-    pub fn news(&self) -> EventListener {
-        self.news.listen()
+    pub fn listen(&self) -> EventListener {
+        self.availability_changed.listen()
     }
 
     /// Waits until an endpoint takes no new requests.
-    pub async fn leaves(&self, peer: &Peer) {
+    pub async fn wait_unavailable(&self, peer: &Peer) {
         loop {
-            let news = self.news.listen();
+            let change = self.availability_changed.listen();
             if !peer.is_open() {
                 return;
             }
-            news.await;
+            change.await;
         }
     }
 
     /// Returns whether a run is among the known endpoints.
-    pub fn lists(&self, run: &Incarnation) -> bool {
+    pub fn contains(&self, run: &Incarnation) -> bool {
         self.peers.load().by_id.contains_key(run)
     }
 
     /// Waits until another run is known to have taken an endpoint's address after
     /// `since`.
-    pub async fn next_run(&self, peer: &Peer, since: Instant) {
+    pub async fn wait_replaced(&self, peer: &Peer, since: Instant) {
         loop {
-            let (news, moved) = (self.news.listen(), self.moved.listen());
-            if peer.has_next_run(since) || self.is_replaced(peer) {
+            let (change, address_changed) =
+                (self.availability_changed.listen(), self.address_changed.listen());
+            if peer.has_other_run(since) || self.is_replaced(peer) {
                 return;
             }
-            future::or(news, moved).await;
+            future::or(change, address_changed).await;
         }
     }
 
     /// Records that another run answered at an endpoint's address.
-    pub fn is_gone(&self, peer: &Peer) {
-        peer.is_gone();
-        self.moved.notify(usize::MAX);
+    pub fn mark_gone(&self, peer: &Peer) {
+        peer.mark_gone();
+        self.address_changed.notify(usize::MAX);
     }
 
     /// Returns whether another run of the service is known at an endpoint's address.
@@ -250,9 +254,9 @@
 
     /// Returns the number of all entries and of those in this hall, by the highest count
     /// of any agent; at least 1 each.
-    pub fn entries(&self) -> (u32, u32) {
+    pub fn entry_counts(&self) -> (u32, u32) {
         let links = self.links.lock();
-        let counts = links.values().map(|kept| kept.link.entries());
+        let counts = links.values().map(|maintained| maintained.link.entry_counts());
         counts.fold((1, 1), |(all, hall), (a, h)| (all.max(a), hall.max(h)))
     }
 
@@ -273,18 +277,23 @@
                 None => {
                     let link =
                         is_engine.then(|| self.link(endpoint.addr, &endpoint.service));
-                    let said = self.said_before(&before, &endpoint.id);
-                    Peer::new(endpoint.clone(), link, said)
+                    let availability = self.known_availability(&before, &endpoint.id);
+                    Peer::new(endpoint.clone(), link, availability)
                 }
             };
-            if peer.leaves_by_agent() {
-                self.hear(&peer, Instant::now(), Notice::LEAVING, NoticeSource::Agent);
+            if peer.reported_draining() {
+                self.apply_notice(
+                    &peer,
+                    Instant::now(),
+                    Notice::LEAVING,
+                    NoticeSource::Agent,
+                );
             }
-            if let Some(word) = peer.take_rate_word() {
-                self.hear(
+            if let Some(rate) = peer.take_rate_change() {
+                self.apply_notice(
                     &peer,
                     Instant::now(),
-                    Notice::of_rate(word),
+                    Notice::of_rate(rate),
                     NoticeSource::Agent,
                 );
             }
@@ -299,11 +308,15 @@
         self.links.lock().retain(|addr, _| used.contains(addr));
         self.keep_unlisted(&before, &now);
         self.peers.store(Arc::new(now));
-        self.news.notify(usize::MAX);
+        self.availability_changed.notify(usize::MAX);
     }
 
     /// Returns the recorded availability of an endpoint, listed or not, or a new record.
-    fn said_before(&self, before: &Peers, id: &Incarnation) -> Arc<Mutex<Availability>> {
+    fn known_availability(
+        &self,
+        before: &Peers,
+        id: &Incarnation,
+    ) -> Arc<Mutex<Availability>> {
         let known = before.by_id.get(id).map(|peer| peer.availability());
         known.or_else(|| self.unlisted.lock().remove(id)).unwrap_or_default()
     }
@@ -316,9 +329,9 @@
         }
         let missing = before.by_id.iter().filter(|(id, _)| !now.by_id.contains_key(*id));
         for (id, peer) in missing {
-            let said = peer.availability();
-            if !said.lock().is_silent() {
-                unlisted.insert(id.clone(), said);
+            let availability = peer.availability();
+            if !availability.lock().is_silent() {
+                unlisted.insert(id.clone(), availability);
             }
         }
     }
@@ -341,7 +354,7 @@
         let coming: Vec<_> = endpoints
             .iter()
             .filter_map(|e| {
-                let run = before.by_id.get(&e.id)?.followed_by()?;
+                let run = before.by_id.get(&e.id)?.replaced_by()?;
                 // A run that was listed before and is not now has gone, even if its agent
                 // still reports the run.
                 let coming = run.in_place && !listed.contains(&run.id);
@@ -355,18 +368,18 @@
     fn link(&self, endpoint: SocketAddr, service: &ServiceId) -> Arc<Link> {
         let addr = self.agent_addr(endpoint);
         let mut links = self.links.lock();
-        if let Some(kept) = links.get(&addr) {
-            return kept.link.clone();
+        if let Some(maintained) = links.get(&addr) {
+            return maintained.link.clone();
         }
-        let heard = LinkEvents {
-            news: self.news.clone(),
-            runs: self.runs.clone(),
-            told: self.told.clone(),
+        let events = LinkEvents {
+            availability_changed: self.availability_changed.clone(),
+            run_changed: self.run_changed.clone(),
+            sinks: self.sinks.clone(),
         };
-        let link = Link::new(addr.to_string(), heard);
+        let link = Link::new(addr.to_string(), events);
         let (beliefs, service) = (self.beliefs.clone(), service.clone());
-        let engine = move || engine_of(beliefs.routing().as_deref(), &service);
-        let task = exec::spawn(link.clone().run(self.who.clone(), engine));
+        let engine = move || engine_declaration(beliefs.routing().as_deref(), &service);
+        let task = exec::spawn(link.clone().run(self.identity.clone(), engine));
         links.insert(addr, MaintainedLink { link: link.clone(), _task: task });
         link
     }
@@ -386,8 +399,8 @@
     Agent,
 }
 
-fn log_news(peer: &Peer, notice: Notice, news: News, source: NoticeSource<'_>) {
-    if !news.is_any() || !logs::allows(Line::Belief) {
+fn log_notice(peer: &Peer, notice: Notice, changes: News, source: NoticeSource<'_>) {
+    if !changes.is_any() || !logs::allows(Line::Belief) {
         return;
     }
     let (request, status) = match source {
@@ -396,7 +409,7 @@
     };
     let rate = peer.availability().lock().rate_named();
     tracing::info!(
-        event = match news {
+        event = match changes {
             News { leaves: true, .. } => "endpoint leaves",
             News { rests: true, .. } => "endpoint rests",
             News { .. } if rate.is_some() => "endpoint names a rate",
--- a/crates/larkspring/src/direct/entry/job.rs
+++ b/crates/larkspring/src/direct/entry/job.rs
@@ -121,7 +121,7 @@
     };
     let host = head.headers.get(HOST).and_then(|h| h.to_str().ok()).unwrap_or_default();
     let Some(route) = routing.find(host, head.uri.path()).cloned() else {
-        return refuse(entry.no_route(), Some(body), done);
+        return refuse(entry.missing_route_reason(), Some(body), done);
     };
     let workspace = match entry.authorize(&routing, &route, caller.credential) {
         Ok(workspace) => workspace,
@@ -202,7 +202,7 @@
         let may_run = self.in_flight.load(Ordering::Acquire) || self.history.may_have_run;
         let ran = may_run || matches!(ended, Some(Ok(_)));
         if let Some(charge) = self.charge.as_mut().filter(|_| ran) {
-            charge.spend();
+            charge.mark_spent();
         }
         let (reason, after) = match ended {
             Some(Ok(answered)) => return self.deliver(answered, done),
@@ -244,9 +244,9 @@
             return Duration::ZERO;
         }
         let early = self.route.objective.mul_f64(EARLY_FRACTION);
-        let can_come_back = !self.is_retry && !self.history.may_have_run;
+        let can_be_refused = !self.is_retry && !self.history.may_have_run;
         match early.checked_sub(self.received.elapsed()) {
-            Some(left) if can_come_back => left.min(self.time_left()),
+            Some(left) if can_be_refused => left.min(self.time_left()),
             _ => self.time_left().saturating_sub(ANSWER_RESERVE),
         }
     }
@@ -258,10 +258,10 @@
     ) -> Result<EndpointAnswer, (Reason, Option<Duration>)> {
         let mut own_failure = None;
         loop {
-            if self.entry.crashes.refuses(self.fingerprint) {
+            if self.entry.crashes.is_quarantined(self.fingerprint) {
                 return own_failure.ok_or((Reason::CrashesEndpoints, None));
             }
-            let selection = match self.place().await {
+            let selection = match self.select_endpoint().await {
                 Ok(selection) => selection,
                 Err(e) => return own_failure.ok_or(e),
             };
--- a/crates/larkspring/src/direct/entry/known.rs
+++ b/crates/larkspring/src/direct/entry/known.rs
@@ -14,23 +14,23 @@
 #[derive(Debug, Default)]
 pub(super) struct EngineState {
     /// When the agent's last message came; `None` before the first one.
-    pub heard: Option<Instant>,
+    pub last_message: Option<Instant>,
     /// Whether the agent is responsive.
     pub live: bool,
     /// The run of the engine that was last reported.
     pub run: Option<ReportedRun>,
     /// Whether the agent has reported a run on the current connection. Each connection
     /// begins with a whole state.
-    named_here: bool,
+    run_on_connection: bool,
     /// The latest change of the advertised rate that was not taken yet.
-    rate_word: Option<RateWord>,
+    rate_change: Option<RateWord>,
     state: wire::State,
     resident: HashSet<TargetHash>,
     loading: HashSet<TargetHash>,
     copies: Copies,
     unread: Option<Unread>,
     /// Granted holds of this entry at the time of the last state report.
-    mine_then: u32,
+    own_holds_at_report: u32,
 }
 
 /// The known state of an engine for endpoint selection.
@@ -71,26 +71,31 @@
 }
 
 impl EngineState {
-    /// Applies a state report; `mine` is the number of granted holds of this entry.
-    pub fn take(&mut self, now: Instant, state: wire::State, mine: u32) -> StateChanges {
+    /// Applies a state report; `own_holds` is the number of granted holds of this entry.
+    pub fn apply(
+        &mut self,
+        now: Instant,
+        state: wire::State,
+        own_holds: u32,
+    ) -> StateChanges {
         let engagement = state.engagement != self.state.engagement;
-        let leaves = state.leaving && !self.state.leaving;
-        let run = self.apply(now, &state) || leaves;
-        let rate = self.hear_rate(&state);
+        let drains = state.leaving && !self.state.leaving;
+        let run = self.apply_run(now, &state) || drains;
+        let rate = self.record_rate(&state);
         self.unread = Some(Unread::new(now, state.unread_tokens));
-        self.mine_then = mine;
+        self.own_holds_at_report = own_holds;
         self.state = state;
         StateChanges { engagement, run, rate }
     }
 
-    /// Returns the known state of the engine; `mine` is the number of granted holds of
+    /// Returns the known state of the engine; `own_holds` is the number of granted holds of
     /// this entry.
-    pub fn view(&self, now: Instant, mine: u32) -> EngineView {
-        let held = self.state.held.saturating_sub(self.mine_then) + mine;
+    pub fn view(&self, now: Instant, own_holds: u32) -> EngineView {
+        let held = self.state.held.saturating_sub(self.own_holds_at_report) + own_holds;
         EngineView {
             live: self.live,
             engagement: self.state.engagement(),
-            running: held.max(mine),
+            running: held.max(own_holds),
             free_places: self.state.free_places,
             loads_ahead: self.state.loads_ahead + self.loading.len() as u32,
             unread_tokens: self.unread.map_or(0, |u| u.at(now)),
@@ -98,20 +103,20 @@
     }
 
     /// Returns the run that the agent reports as draining, if any.
-    pub fn leaving(&self) -> Option<Incarnation> {
+    pub fn draining_run(&self) -> Option<Incarnation> {
         let run = self.run.as_ref().filter(|_| self.state.leaving);
         run.map(|run| run.id.clone())
     }
 
     /// Takes the latest change of a run's advertised rate, if any.
-    pub fn take_rate_word(&mut self) -> Option<(Incarnation, RateWord)> {
+    pub fn take_rate_change(&mut self) -> Option<(Incarnation, RateWord)> {
         let run = self.run.as_ref()?.id.clone();
-        Some((run, self.rate_word.take()?))
+        Some((run, self.rate_change.take()?))
     }
 
     /// Returns whether the agent is responsive and reports an advertised rate of the
     /// engine.
-    pub fn names_rate(&self) -> bool {
+    pub fn has_advertised_rate(&self) -> bool {
         self.live && self.state.rate_millis.is_some()
     }
 
@@ -119,21 +124,21 @@
     ///
     /// The first state on a connection may precede the engine's first report to the
     /// agent, so a missing rate is then no change.
-    fn hear_rate(&mut self, state: &wire::State) -> bool {
-        let is_news = match state.rate_millis {
+    fn record_rate(&mut self, state: &wire::State) -> bool {
+        let has_changed = match state.rate_millis {
             Some(rate) => self.state.rate_millis != Some(rate),
             None => self.state.rate_millis.is_some() && !state.whole,
         };
-        if is_news {
+        if has_changed {
             let named = state.rate_millis.map(Rate::from_millis);
-            self.rate_word = Some(named.map_or(RateWord::Silent, RateWord::Named));
+            self.rate_change = Some(named.map_or(RateWord::Silent, RateWord::Named));
         }
-        is_news
+        has_changed
     }
 
     /// Returns how the engine holds an adapter; `None` before the agent's first message.
     pub fn holding(&self, target: TargetHash) -> Option<Holding> {
-        self.heard?;
+        self.last_message?;
         Some(if self.resident.contains(&target) {
             Holding::Resident
         } else if self.loading.contains(&target) {
@@ -146,19 +151,19 @@
     }
 
     /// Records that the engine holds an adapter, ahead of the agent's next state report.
-    pub fn holds(&mut self, target: TargetHash) {
+    pub fn record_held(&mut self, target: TargetHash) {
         self.loading.remove(&target);
         self.resident.insert(target);
     }
 
     /// Records that the engine refused a request for lack of an adapter.
-    pub fn lacks(&mut self, target: TargetHash) {
+    pub fn record_missing(&mut self, target: TargetHash) {
         self.resident.remove(&target);
     }
 
     /// Returns the number of entries connected to the agent, in all and in this entry's
     /// hall.
-    pub fn entries(&self) -> (u32, u32) {
+    pub fn entry_counts(&self) -> (u32, u32) {
         match self.live {
             true => (self.state.entries, self.state.entries_in_hall),
             false => (0, 0),
@@ -166,12 +171,12 @@
     }
 
     /// Applies a state's run and adapters; returns whether the engine is another run.
-    fn apply(&mut self, now: Instant, state: &wire::State) -> bool {
+    fn apply_run(&mut self, now: Instant, state: &wire::State) -> bool {
         let known = self.run.as_ref().map(|run| &*run.id);
-        let is_again = self.named_here && !state.whole;
-        let is_new = !state.run.is_empty() && (is_again || known != Some(&state.run));
+        let is_update = self.run_on_connection && !state.whole;
+        let is_new = !state.run.is_empty() && (is_update || known != Some(&state.run));
         if state.whole {
-            self.named_here = false;
+            self.run_on_connection = false;
             self.resident.clear();
             self.loading.clear();
         }
@@ -191,10 +196,10 @@
         }
         if is_new {
             let id = state.run.as_str().into();
-            let in_place = self.named_here;
+            let in_place = self.run_on_connection;
             self.run = Some(ReportedRun { id, since: now, in_place });
         }
-        self.named_here |= !state.run.is_empty();
+        self.run_on_connection |= !state.run.is_empty();
         is_new
     }
 }
--- a/crates/larkspring/src/direct/entry/limits.rs
+++ b/crates/larkspring/src/direct/entry/limits.rs
@@ -35,16 +35,16 @@
     fleet: Arc<Fleet>,
     accounts: Mutex<Accounts<Sender<Verdict>>>,
     /// Grants this entry an even share while no agent is live.
-    own: Mutex<Home>,
+    local_owner: Mutex<Home>,
     grants: Receiver<Vec<Grant>>,
     /// Bucket owners that did not reply, with the time until which they get no requests.
-    passed_over: Mutex<Vec<(SocketAddr, Instant)>>,
+    skipped: Mutex<Vec<(SocketAddr, Instant)>>,
     /// The current bucket owner of each group and since when it is the owner; `None` is
     /// this entry itself, while no agent is live.
-    homes: Mutex<HashMap<u64, Presence<Option<SocketAddr>>>>,
+    owners: Mutex<HashMap<u64, Presence<Option<SocketAddr>>>>,
     /// When bucket owners were last passed over.
-    changed_at: Mutex<Instant>,
-    woken: Event,
+    owners_changed_at: Mutex<Instant>,
+    wake: Event,
 }
 
 /// Interval of messages to bucket owners without requested units: four fit into the time
@@ -73,12 +73,12 @@
             beliefs,
             fleet,
             accounts: Mutex::new(Accounts::new(terms)),
-            own: Mutex::new(Home::new(terms)),
+            local_owner: Mutex::new(Home::new(terms)),
             grants,
-            passed_over: Mutex::default(),
-            homes: Mutex::default(),
-            changed_at: Mutex::new(Instant::now()),
-            woken: Event::new(),
+            skipped: Mutex::default(),
+            owners: Mutex::default(),
+            owners_changed_at: Mutex::new(Instant::now()),
+            wake: Event::new(),
         })
     }
 
@@ -97,7 +97,7 @@
             (decided, accounts.is_due(now, workspace))
         };
         if due || decided.is_none() {
-            self.woken.notify(usize::MAX);
+            self.wake.notify(usize::MAX);
         }
         match decided {
             Some(verdict) => verdict,
@@ -107,7 +107,7 @@
     }
 
     /// Returns the units of a request that has not run.
-    pub fn give_back(&self, workspace: &Workspace, cost: f64) {
+    pub fn return_units(&self, workspace: &Workspace, cost: f64) {
         self.accounts.lock().give_back(Instant::now(), workspace, cost);
     }
 
@@ -118,83 +118,83 @@
 
     /// Requests units from bucket owners and applies their grants, for ever.
     pub async fn run(self: Arc<Self>) {
-        let mut beat_at = Instant::now();
+        let mut poll_at = Instant::now();
         loop {
-            let woken = self.woken.listen();
+            let wake = self.wake.listen();
             let now = Instant::now();
-            self.decide_unanswered(now);
-            self.ask(now, now >= beat_at);
-            if now >= beat_at {
-                beat_at = now + POLL_INTERVAL;
+            self.give_up_unanswered(now);
+            self.request_units(now, now >= poll_at);
+            if now >= poll_at {
+                poll_at = now + POLL_INTERVAL;
             }
             let next = self.accounts.lock().next_at();
             let timer = async {
-                Timer::at(next.map_or(beat_at, |at| at.min(beat_at))).await;
+                Timer::at(next.map_or(poll_at, |at| at.min(poll_at))).await;
                 None
             };
-            let woken = async {
-                woken.await;
+            let wake = async {
+                wake.await;
                 None
             };
             let granted = async { self.grants.recv().await.ok() };
-            if let Some(grants) = future::or(granted, future::or(woken, timer)).await {
-                self.granted(&grants);
+            if let Some(grants) = future::or(granted, future::or(wake, timer)).await {
+                self.apply_grants(&grants);
             }
         }
     }
 
-    fn granted(&self, grants: &[Grant]) {
+    fn apply_grants(&self, grants: &[Grant]) {
         let decided = self.accounts.lock().granted(Instant::now(), grants);
-        tell(decided);
+        notify(decided);
     }
 
     /// Gives up unanswered requests for units, refuses callers' requests that waited too
     /// long for them, and passes over the bucket owners.
-    fn decide_unanswered(&self, now: Instant) {
+    fn give_up_unanswered(&self, now: Instant) {
         let mut decided = Vec::new();
         let asked = {
             let mut accounts = self.accounts.lock();
             accounts.set_entries(self.entries());
             accounts.unanswered(now, &mut decided)
         };
-        tell(decided);
+        notify(decided);
         // Units requested before the last change of owners were requested from the
         // previous owners.
-        let mut changed = self.changed_at.lock();
+        let mut changed = self.owners_changed_at.lock();
         if asked.is_none_or(|asked| asked <= *changed) {
             return;
         }
         *changed = now;
         for group in 0..self.groups() {
-            let Some((home, _)) = self.home(now, group) else { continue };
+            let Some((owner, _)) = self.owner(now, group) else { continue };
             if logs::allows(logs::Line::Belief) {
-                tracing::info!(event = "home of limits passed over", agent = %home);
+                tracing::info!(event = "home of limits passed over", agent = %owner);
             }
-            self.passed_over.lock().push((home, now + SKIP_DURATION));
+            self.skipped.lock().push((owner, now + SKIP_DURATION));
         }
     }
 
     /// Sends the requested units of each group to its bucket owner in one message.
-    fn ask(&self, now: Instant, beats: bool) {
-        let wants = self.accounts.lock().wants(now, beats);
-        if wants.is_empty() && !beats {
+    fn request_units(&self, now: Instant, polls: bool) {
+        let wants = self.accounts.lock().wants(now, polls);
+        if wants.is_empty() && !polls {
             return;
         }
         let groups = self.groups();
         for group in 0..groups {
             let of_group = |w: &&Want| group_of(w.workspace, groups) == group;
             let wants: Vec<_> = wants.iter().filter(of_group).copied().collect();
-            if wants.is_empty() && !beats {
+            if wants.is_empty() && !polls {
                 continue;
             }
-            let home = self.home(now, group);
-            let told = self.told(now, group, home.as_ref().map(|(addr, _)| *addr));
+            let owner = self.owner(now, group);
+            let told = self.presence(now, group, owner.as_ref().map(|(addr, _)| *addr));
             let entries = self.entries() as usize;
             let ask = Ask { told, entries, wants: &wants };
-            match home {
+            match owner {
                 // A request for units that can't be sent is later treated as unanswered.
-                Some((_, link)) => drop(link.reserve(&ask)),
-                None => self.granted(&self.own.lock().ask(now, &ask)),
+                Some((_, link)) => drop(link.request_units(&ask)),
+                None => self.apply_grants(&self.local_owner.lock().ask(now, &ask)),
             }
         }
     }
@@ -202,8 +202,8 @@
     /// Returns the presence that a request to a bucket owner reports. After a change of
     /// the owner, units from the previous owner stay usable but are not returned to the
     /// new one.
-    fn told(&self, now: Instant, group: u64, home: Option<SocketAddr>) -> Told {
-        let told = self.homes.lock().entry(group).or_default().ask(now, home);
+    fn presence(&self, now: Instant, group: u64, owner: Option<SocketAddr>) -> Told {
+        let told = self.owners.lock().entry(group).or_default().ask(now, owner);
         if told.joined {
             self.accounts.lock().home_changed();
         }
@@ -216,7 +216,7 @@
     fn entries(&self) -> u32 {
         match self.fleet.live_links().is_empty() {
             true => ASSUMED_ENTRIES,
-            false => self.fleet.entries().0,
+            false => self.fleet.entry_counts().0,
         }
     }
 
@@ -228,12 +228,11 @@
         workspaces.map_or(0, |w| w.count().div_ceil(GROUP_SIZE) as u64)
     }
 
-    fn home(&self, now: Instant, group: u64) -> Option<(SocketAddr, Arc<Link>)> {
-        let mut passed_over = self.passed_over.lock();
-        passed_over.retain(|(_, until)| *until > now);
+    fn owner(&self, now: Instant, group: u64) -> Option<(SocketAddr, Arc<Link>)> {
+        let mut skipped = self.skipped.lock();
+        skipped.retain(|(_, until)| *until > now);
         let links = self.fleet.live_links().into_iter();
-        let asked =
-            links.filter(|(addr, _)| passed_over.iter().all(|(out, _)| out != addr));
+        let asked = links.filter(|(addr, _)| skipped.iter().all(|(out, _)| out != addr));
         let named = asked.map(|(addr, link)| (addr.to_string().into(), addr, link));
         let ranked = ranked(group, named.collect(), |(name, _, _)| name);
         ranked.into_iter().next().map(|(_, addr, link)| (addr, link))
@@ -244,7 +243,7 @@
     workspace % groups.max(1)
 }
 
-fn tell(decided: Vec<(Sender<Verdict>, Verdict)>) {
+fn notify(decided: Vec<(Sender<Verdict>, Verdict)>) {
     for (request, verdict) in decided {
         // The request may have ended meanwhile; its units then expire.
         let _ = request.try_send(verdict);
--- a/crates/larkspring/src/direct/entry/link.rs
+++ b/crates/larkspring/src/direct/entry/link.rs
@@ -41,15 +41,15 @@
 pub(super) struct Link {
     addr: String,
     tx: Mutex<Option<Sender<wire::FromEntry>>>,
-    known: Mutex<EngineState>,
+    engine_state: Mutex<EngineState>,
     holds: Mutex<HashMap<u64, HoldRecord>>,
     /// Permit requests that await a reply, by id.
-    permits: Mutex<HashMap<u64, Sender<Verdict>>>,
+    pending_permits: Mutex<HashMap<u64, Sender<Verdict>>>,
     next_id: AtomicU64,
     granted: AtomicU32,
     /// Number of connections opened so far.
-    connection: AtomicU64,
-    heard: LinkEvents,
+    connections: AtomicU64,
+    events: LinkEvents,
     since: Instant,
 }
 
@@ -57,12 +57,12 @@
 #[derive(Debug, Clone)]
 pub(super) struct LinkEvents {
     /// Notified when the agent is live again, or its engine's state of service changes.
-    pub news: Arc<Event>,
+    pub availability_changed: Arc<Event>,
     /// Notified when the agent reports another run of the engine, that the engine drains,
     /// or another rate limit.
-    pub runs: Arc<Event>,
+    pub run_changed: Arc<Event>,
     /// Receivers of grants and crash reports.
-    pub told: MessageSinks,
+    pub sinks: MessageSinks,
 }
 
 /// Receivers of the agents' grants and crash reports.
@@ -104,17 +104,17 @@
 
 impl Link {
     /// Creates a connection to an agent that is not open yet.
-    pub fn new(addr: String, heard: LinkEvents) -> Arc<Self> {
+    pub fn new(addr: String, events: LinkEvents) -> Arc<Self> {
         Arc::new(Self {
             addr,
             tx: Mutex::default(),
-            known: Mutex::default(),
+            engine_state: Mutex::default(),
             holds: Mutex::default(),
-            permits: Mutex::default(),
+            pending_permits: Mutex::default(),
             next_id: AtomicU64::new(1),
             granted: AtomicU32::new(0),
-            connection: AtomicU64::new(0),
-            heard,
+            connections: AtomicU64::new(0),
+            events,
             since: Instant::now(),
         })
     }
@@ -126,21 +126,21 @@
 
     /// Returns whether the agent is responsive.
     pub fn is_live(&self) -> bool {
-        self.known.lock().live
+        self.engine_state.lock().live
     }
 
     /// Keeps the connection open, for ever; `engine` returns the engine's declaration.
     pub async fn run(
         self: Arc<Self>,
-        who: EntryIdentity,
+        identity: EntryIdentity,
         engine: impl Fn() -> wire::Engine + Sync,
     ) {
         let pool = Pool::new(1, CONNECT_TIMEOUT);
         let mut rng = Rng::new();
         let mut failures = 0;
         loop {
-            let end = self.connection(&pool, &who, &engine).await;
-            failures = match self.lost() {
+            let end = self.run_connection(&pool, &identity, &engine).await;
+            failures = match self.disconnect() {
                 true => {
                     self.log_lost(&end);
                     0
@@ -153,10 +153,10 @@
         }
     }
 
-    async fn connection(
+    async fn run_connection(
         &self,
         pool: &Pool,
-        who: &EntryIdentity,
+        identity: &EntryIdentity,
         engine: &(impl Fn() -> wire::Engine + Sync),
     ) -> String {
         let channel = match pool.get(&self.addr).await {
@@ -166,13 +166,16 @@
         let origin = channel.origin();
         let mut client = ResidencyClient::with_origin(channel, origin);
         let (tx, rx) = channel::unbounded();
-        let hello = wire::Hello { entry: who.vm.to_string(), hall: who.hall.to_string() };
+        let hello = wire::Hello {
+            entry: identity.vm.to_string(),
+            hall: identity.hall.to_string(),
+        };
         send(&tx, Kind::Hello(hello));
         let first = engine();
-        let mut told = first.routing_version;
+        let mut declared_version = first.routing_version;
         send(&tx, Kind::Engine(first));
-        self.restore(&tx);
-        if let Some(findings) = self.heard.told.findings.all() {
+        self.restore_holds(&tx);
+        if let Some(findings) = self.events.sinks.findings.all() {
             send(&tx, Kind::Findings(findings));
         }
         let up = match within(CONNECT_TIMEOUT, client.follow(rx)).await {
@@ -181,20 +184,22 @@
             None => return "no answer".into(),
         };
         let mut down = up.into_inner();
-        self.connection.fetch_add(1, Ordering::Relaxed);
+        self.connections.fetch_add(1, Ordering::Relaxed);
         *self.tx.lock() = Some(tx);
         loop {
             let declared = engine();
-            if declared.routing_version > told {
-                told = declared.routing_version;
-                self.say(Kind::Engine(declared));
+            if declared.routing_version > declared_version {
+                declared_version = declared.routing_version;
+                self.send_message(Kind::Engine(declared));
             }
             match within(MESSAGE_TIMEOUT, down.message()).await {
-                Some(Ok(Some(message))) => self.heard(message),
+                Some(Ok(Some(message))) => self.receive(message),
                 Some(Ok(None)) => return "the agent closed the connection".into(),
                 Some(Err(e)) => return status_text(&e),
-                None if self.silent_for() > RECONNECT_TIMEOUT => return "silent".into(),
-                None if self.silent() => self.log_lost("silent"),
+                None if self.time_since_message() > RECONNECT_TIMEOUT => {
+                    return "silent".into()
+                }
+                None if self.mark_unresponsive() => self.log_lost("silent"),
                 None => {}
             }
         }
@@ -202,8 +207,8 @@
 
     /// Requests units from the agent as bucket owner; returns whether the request was
     /// queued.
-    pub fn reserve(&self, ask: &Ask<'_>) -> bool {
-        self.say(Kind::Reserve(wire::Reserve {
+    pub fn request_units(&self, ask: &Ask<'_>) -> bool {
+        self.send_message(Kind::Reserve(wire::Reserve {
             wants: ask.wants.iter().map(write_want).collect(),
             told_ms: ask.told.time.as_millis() as u64,
             joined: ask.told.joined,
@@ -212,37 +217,38 @@
     }
 
     /// Reports crashes of endpoints to the agent; returns whether the report was queued.
-    pub fn ended_under(&self, ends: wire::EndedUnder) -> bool {
-        self.say(Kind::EndedUnder(ends))
+    pub fn report_crashes(&self, ends: wire::EndedUnder) -> bool {
+        self.send_message(Kind::EndedUnder(ends))
     }
 
     /// Sends crash reports to the agent; returns whether they were queued.
-    pub fn found(&self, findings: wire::Findings) -> bool {
-        self.say(Kind::Findings(findings))
+    pub fn send_crash_reports(&self, findings: wire::Findings) -> bool {
+        self.send_message(Kind::Findings(findings))
     }
 
     /// Returns the number of connections opened so far. An agent with a new connection
     /// may have restarted and lost its state.
-    pub fn connection_number(&self) -> u64 {
-        self.connection.load(Ordering::Relaxed)
+    pub fn connection_count(&self) -> u64 {
+        self.connections.load(Ordering::Relaxed)
     }
 
     /// Returns the known state of the engine.
     pub fn view(&self) -> EngineView {
-        let mine = self.granted.load(Ordering::Relaxed);
-        self.known.lock().view(Instant::now(), mine)
+        let own_holds = self.granted.load(Ordering::Relaxed);
+        self.engine_state.lock().view(Instant::now(), own_holds)
     }
 
     /// Returns how the engine holds an adapter by the agent's reports; `None` before the
     /// first one.
     pub fn holding(&self, target: TargetHash) -> Option<Holding> {
-        self.known.lock().holding(target)
+        self.engine_state.lock().holding(target)
     }
 
     /// Returns whether the agent's first message is still expected. Until then the
     /// platform's list does not show what the engine holds.
-    pub fn is_coming(&self) -> bool {
-        self.known.lock().heard.is_none() && self.since.elapsed() < FIRST_MESSAGE_TIMEOUT
+    pub fn is_first_message_pending(&self) -> bool {
+        self.engine_state.lock().last_message.is_none()
+            && self.since.elapsed() < FIRST_MESSAGE_TIMEOUT
     }
 
     /// Returns the run of the engine that the agent last reported.
@@ -250,74 +256,74 @@
     /// The agent knows a new run at once, the platform lists the run only after its first
     /// heartbeat. By the list alone, 68 entries of the large deployment sent 910 requests
     /// to the former runs of 29 engines that had been back for 1.5 to 4 s.
-    pub fn run_named(&self) -> Option<ReportedRun> {
-        self.known.lock().run.clone()
+    pub fn reported_run(&self) -> Option<ReportedRun> {
+        self.engine_state.lock().run.clone()
     }
 
     /// Returns the run that the agent reports as draining, if any.
-    pub fn leaving(&self) -> Option<Incarnation> {
-        self.known.lock().leaving()
+    pub fn draining_run(&self) -> Option<Incarnation> {
+        self.engine_state.lock().draining_run()
     }
 
     /// Takes the agent's latest change of a run's advertised rate, if any.
-    pub fn take_rate_word(&self) -> Option<(Incarnation, RateWord)> {
-        self.known.lock().take_rate_word()
+    pub fn take_rate_change(&self) -> Option<(Incarnation, RateWord)> {
+        self.engine_state.lock().take_rate_change()
     }
 
     /// Returns whether the agent is responsive and reports an advertised rate of the
     /// engine.
-    pub fn names_rate(&self) -> bool {
-        self.known.lock().names_rate()
+    pub fn has_advertised_rate(&self) -> bool {
+        self.engine_state.lock().has_advertised_rate()
     }
 
     /// Records that the engine refused a request for lack of an adapter.
-    pub fn lacks(&self, target: TargetHash) {
-        self.known.lock().lacks(target);
+    pub fn record_missing(&self, target: TargetHash) {
+        self.engine_state.lock().record_missing(target);
     }
 
     /// Returns the number of entries connected to the agent, in all and in this entry's
     /// hall.
-    pub fn entries(&self) -> (u32, u32) {
-        self.known.lock().entries()
+    pub fn entry_counts(&self) -> (u32, u32) {
+        self.engine_state.lock().entry_counts()
     }
 
-    fn heard(&self, message: wire::FromAgent) {
-        let mut known = self.known.lock();
+    fn receive(&self, message: wire::FromAgent) {
+        let mut engine_state = self.engine_state.lock();
         let now = Instant::now();
-        known.heard = Some(now);
-        let regained = !std::mem::replace(&mut known.live, true);
+        engine_state.last_message = Some(now);
+        let regained = !std::mem::replace(&mut engine_state.live, true);
         match message.kind {
             Some(FromAgentKind::State(state)) => {
-                let mine = self.granted.load(Ordering::Relaxed);
-                let changed = known.take(now, state, mine);
+                let own_holds = self.granted.load(Ordering::Relaxed);
+                let changed = engine_state.apply(now, state, own_holds);
                 if regained || changed.engagement {
-                    self.heard.news.notify(usize::MAX);
+                    self.events.availability_changed.notify(usize::MAX);
                 }
                 if changed.run || changed.rate {
-                    self.heard.runs.notify(usize::MAX);
+                    self.events.run_changed.notify(usize::MAX);
                 }
             }
             Some(FromAgentKind::Granted(granted)) => {
-                drop(known);
+                drop(engine_state);
                 let copy_pays = granted.copy_pays;
                 self.end_wait(granted.id, HoldEnd::Granted { copy_pays });
             }
             Some(FromAgentKind::Reserved(reserved)) => {
-                drop(known);
+                drop(engine_state);
                 let grants = reserved.grants.iter().map(read_grant).collect();
                 // The receiver lives as long as the entry.
-                let _ = self.heard.told.grants.try_send(grants);
+                let _ = self.events.sinks.grants.try_send(grants);
             }
             Some(FromAgentKind::Permitted(reply)) => {
-                drop(known);
-                self.permitted(&reply);
+                drop(engine_state);
+                self.receive_permit(&reply);
             }
             Some(FromAgentKind::Findings(findings)) => {
-                drop(known);
-                self.heard.told.findings.learn(&findings);
+                drop(engine_state);
+                self.events.sinks.findings.learn(&findings);
             }
             Some(FromAgentKind::Refused(refused)) => {
-                drop(known);
+                drop(engine_state);
                 let retry_after = Duration::from_millis(refused.retry_after_ms);
                 let end = HoldEnd::Refused { reason: refused.reason, retry_after };
                 self.end_wait(refused.id, end);
@@ -331,10 +337,10 @@
 
     /// Marks the agent as unresponsive and fails the holds and permits that await a
     /// reply; returns whether the agent was live before.
-    fn silent(&self) -> bool {
-        let was_live = std::mem::replace(&mut self.known.lock().live, false);
+    fn mark_unresponsive(&self) -> bool {
+        let was_live = std::mem::replace(&mut self.engine_state.lock().live, false);
         // Dropping the senders ends the waits for permits.
-        self.permits.lock().clear();
+        self.pending_permits.lock().clear();
         let mut holds = self.holds.lock();
         holds.retain(|_, held| match held.waiter.take() {
             Some(waiter) => {
@@ -346,27 +352,30 @@
         was_live
     }
 
-    fn lost(&self) -> bool {
+    fn disconnect(&self) -> bool {
         *self.tx.lock() = None;
-        self.silent()
+        self.mark_unresponsive()
     }
 
     fn log_lost(&self, cause: &str) {
         logs::dependency(&format!("agent {}", self.addr), false, cause);
     }
 
-    fn silent_for(&self) -> Duration {
-        self.known.lock().heard.map_or(RECONNECT_TIMEOUT, |heard| heard.elapsed())
+    fn time_since_message(&self) -> Duration {
+        self.engine_state.lock().last_message.map_or(RECONNECT_TIMEOUT, |at| at.elapsed())
     }
 
-    fn say(&self, kind: Kind) -> bool {
+    fn send_message(&self, kind: Kind) -> bool {
         self.tx.lock().as_ref().is_some_and(|tx| send(tx, kind))
     }
 }
 
 /// Returns the declaration of a service's engines: base models, adapter slots, health
 /// path.
-pub(super) fn engine_of(routing: Option<&Routing>, service: &ServiceId) -> wire::Engine {
+pub(super) fn engine_declaration(
+    routing: Option<&Routing>,
+    service: &ServiceId,
+) -> wire::Engine {
     let Some(routing) = routing else { return wire::Engine::default() };
     let service = routing.service(service);
     let engine = service.and_then(|s| s.engine.as_ref());
--- a/crates/larkspring/src/direct/entry/link/hold.rs
+++ b/crates/larkspring/src/direct/entry/link/hold.rs
@@ -32,9 +32,9 @@
     /// Prompt tokens of the request that need a prefill.
     pub unread_tokens: u32,
     /// Utility of an answer in time, by [`worth`](larkspring_core::fleet::worth).
-    pub worth: f64,
+    pub utility: f64,
     /// Load time within which the answer can still begin within the latency objective.
-    pub in_time: Duration,
+    pub load_time_limit: Duration,
 }
 
 /// The end of the wait for a hold.
@@ -60,24 +60,29 @@
 
 impl Link {
     /// Requests that the agent loads an adapter and keeps it loaded.
-    pub fn hold(self: &Arc<Self>, target: Target, need: HoldRequest<'_>) -> Hold {
+    pub fn request_hold(
+        self: &Arc<Self>,
+        target: Target,
+        request: HoldRequest<'_>,
+    ) -> Hold {
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         let (waiter, end) = channel::bounded(1);
         let asked = Kind::Hold(wire::Hold {
             id,
             adapter: target.adapter.to_string(),
             version: target.version.to_string(),
-            priority: need.priority,
-            wait_ms: need.wait.as_millis() as u64,
+            priority: request.priority,
+            wait_ms: request.wait.as_millis() as u64,
             in_use: false,
-            request: need.request.into(),
-            unread_tokens: need.unread_tokens,
-            worth: need.worth,
-            in_time_ms: need.in_time.as_millis() as u64,
+            request: request.request.into(),
+            unread_tokens: request.unread_tokens,
+            worth: request.utility,
+            in_time_ms: request.load_time_limit.as_millis() as u64,
         });
-        let held = HoldRecord { target, priority: need.priority, waiter: Some(waiter) };
+        let held =
+            HoldRecord { target, priority: request.priority, waiter: Some(waiter) };
         self.holds.lock().insert(id, held);
-        if !self.say(asked) {
+        if !self.send_message(asked) {
             // Drops the waiter, so that the hold ends as lost.
             self.holds.lock().remove(&id);
         }
@@ -92,7 +97,7 @@
         let granted = end.is_granted();
         if granted {
             // The agent's next state report may come too late for the next selection.
-            self.known.lock().holds(held.target.hash());
+            self.engine_state.lock().record_held(held.target.hash());
         }
         if !granted {
             holds.remove(&id);
@@ -106,7 +111,7 @@
     }
 
     /// Restores the granted holds on a new connection.
-    pub(super) fn restore(&self, tx: &Sender<wire::FromEntry>) {
+    pub(super) fn restore_holds(&self, tx: &Sender<wire::FromEntry>) {
         let holds = self.holds.lock();
         for (id, held) in holds.iter().filter(|(_, held)| held.waiter.is_none()) {
             send(
@@ -133,7 +138,7 @@
 
 impl Hold {
     /// Waits until the hold is granted, refused or lost.
-    pub async fn granted(&mut self) -> HoldEnd {
+    pub async fn wait_granted(&mut self) -> HoldEnd {
         let Some(end) = self.end.take() else { return HoldEnd::Lost };
         let end = end.recv().await.unwrap_or(HoldEnd::Lost);
         self.granted = end.is_granted();
@@ -148,6 +153,6 @@
         if held.waiter.is_none() {
             self.link.granted.fetch_sub(1, Ordering::Relaxed);
         }
-        self.link.say(Kind::Release(wire::Release { id: self.id }));
+        self.link.send_message(Kind::Release(wire::Release { id: self.id }));
     }
 }
--- a/crates/larkspring/src/direct/entry/link/permit.rs
+++ b/crates/larkspring/src/direct/entry/link/permit.rs
@@ -13,34 +13,35 @@
 
 impl Link {
     /// Requests a permit from the agent; `None` if no reply comes in time.
-    pub async fn permit(&self, ask: &Ask) -> Option<Verdict> {
+    pub async fn request_permit(&self, ask: &Ask) -> Option<Verdict> {
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         let (tx, rx) = channel::bounded(1);
-        self.permits.lock().insert(id, tx);
-        let sent = self.is_live() && self.say(Kind::Permit(write_ask(id, ask)));
+        self.pending_permits.lock().insert(id, tx);
+        let sent = self.is_live()
+            && self.send_message(Kind::Permit(write_permit_request(id, ask)));
         let answer = match sent {
             true => within(ANSWER, rx.recv()).await,
             false => None,
         };
-        self.permits.lock().remove(&id);
+        self.pending_permits.lock().remove(&id);
         answer?.ok()
     }
 
     /// Passes a reply to the request that awaits it. A late reply is dropped, and its
     /// permit expires.
-    pub(super) fn permitted(&self, reply: &wire::PermitReply) {
+    pub(super) fn receive_permit(&self, reply: &wire::PermitReply) {
         let verdict = match reply.wait_ms {
             0 => Verdict::Granted,
             wait => Verdict::Denied(Duration::from_millis(wait)),
         };
-        if let Some(tx) = self.permits.lock().remove(&reply.id) {
+        if let Some(tx) = self.pending_permits.lock().remove(&reply.id) {
             // The request may have ended meanwhile.
             let _ = tx.try_send(verdict);
         }
     }
 }
 
-fn write_ask(id: u64, ask: &Ask) -> wire::PermitAsk {
+fn write_permit_request(id: u64, ask: &Ask) -> wire::PermitAsk {
     wire::PermitAsk {
         id,
         run: ask.run,
--- a/crates/larkspring/src/direct/entry/mod.rs
+++ b/crates/larkspring/src/direct/entry/mod.rs
@@ -244,10 +244,10 @@
     /// enough to authenticate with, and the entry is not stopping; 503 otherwise.
     fn readiness(&self) -> StatusCode {
         let routing = self.beliefs.routing();
-        let trusted =
-            routing.is_some_and(|r| r.workspaces.is_none() || self.trusts_keys());
-        let knows = trusted && !self.fleet.is_empty();
-        match knows && !self.shutdown.is_draining() {
+        let keys_fresh =
+            routing.is_some_and(|r| r.workspaces.is_none() || self.has_fresh_keys());
+        let is_routable = keys_fresh && !self.fleet.is_empty();
+        match is_routable && !self.shutdown.is_draining() {
             true => StatusCode::OK,
             false => StatusCode::SERVICE_UNAVAILABLE,
         }
@@ -265,7 +265,7 @@
         for (workspace, units) in self.limits.reserved() {
             self.stats.reserved(&workspace, units as i64);
         }
-        self.crashes.show();
+        self.crashes.update_metrics();
         self.stats.state("endpoints", self.fleet.len() as i64);
         let connections = self.shutdown.connections.load(Ordering::Relaxed);
         self.stats.state("caller_connections", connections as i64);
@@ -285,7 +285,7 @@
 
     /// Takes one retry from the shared budget; `false` if the budget is used up.
     fn take_retry(&self, service: &ServiceId) -> bool {
-        let (entries, _) = self.fleet.entries();
+        let (entries, _) = self.fleet.entry_counts();
         let mut retry_budgets = self.retry_budgets.lock();
         let window = retry_budgets.get_mut(service);
         window.is_some_and(|w| w.repeat(Instant::now(), entries as usize))
--- a/crates/larkspring/src/direct/entry/notices.rs
+++ b/crates/larkspring/src/direct/entry/notices.rs
@@ -17,7 +17,7 @@
     /// Ignores answers to other requests and answers of other runs at the address.
     /// Accepts unsigned answers: an endpoint that corrupts its answers can put only
     /// itself out of use.
-    pub(super) fn notice(
+    pub(super) fn apply_notice(
         &self,
         head: &Parts,
         answer_head: &AnswerHead,
@@ -41,7 +41,7 @@
         let notice = if is_sure { notice } else { notice.without_silence() };
         self.entry.stats.notice(notice);
         let (request, status) = (&*self.caller.id, head.status.as_u16());
-        self.entry.fleet.hear(
+        self.entry.fleet.apply_notice(
             peer,
             asked,
             notice,
--- a/crates/larkspring/src/direct/entry/peer.rs
+++ b/crates/larkspring/src/direct/entry/peer.rs
@@ -29,11 +29,11 @@
     /// The endpoint's notices about itself; kept while the platform does not list it.
     availability: Arc<Mutex<Availability>>,
     /// Until when the endpoint's rate limit is used up.
-    used_up_until: Mutex<Option<Instant>>,
+    rate_used_up_until: Mutex<Option<Instant>>,
     /// When this record was created.
     since: Instant,
     idle: Mutex<Vec<Conn>>,
-    open: AtomicU32,
+    open_requests: AtomicU32,
     /// Prompt tokens of this entry's requests that are in prefill.
     prefill_tokens: AtomicU32,
     /// Until when the endpoint counts as gone, after another run answered at its address.
@@ -41,9 +41,9 @@
     quality: Mutex<Quality>,
     cached_parts: Mutex<CachedParts>,
     /// Until when answers to other requests are to be expected on the connections.
-    garbles_until: Mutex<Option<Instant>>,
+    corrupted_until: Mutex<Option<Instant>>,
     /// Interrupted requests, kept until it is known whether the endpoint crashed.
-    broken: Mutex<Vec<InterruptedRequest>>,
+    interrupted: Mutex<Vec<InterruptedRequest>>,
 }
 
 /// A request whose connection to an endpoint broke before the answer was complete.
@@ -99,18 +99,18 @@
         availability.lock().listed(endpoint.start);
         Arc::new(Self {
             availability,
-            used_up_until: Mutex::default(),
+            rate_used_up_until: Mutex::default(),
             endpoint: ArcSwap::new(endpoint),
             link,
             since: Instant::now(),
             idle: Mutex::default(),
-            open: AtomicU32::new(0),
+            open_requests: AtomicU32::new(0),
             prefill_tokens: AtomicU32::new(0),
             gone_until: Mutex::default(),
             quality: Mutex::new(Quality::new(Instant::now())),
             cached_parts: Mutex::default(),
-            garbles_until: Mutex::default(),
-            broken: Mutex::default(),
+            corrupted_until: Mutex::default(),
+            interrupted: Mutex::default(),
         })
     }
 
@@ -121,80 +121,92 @@
 
     /// Returns whether the endpoint takes new requests, as far as known.
     pub fn is_open(&self) -> bool {
-        self.is_listed_open()
-            && self.said().is_none_or(|said| said.is_open(Instant::now()))
+        self.is_listed_available()
+            && self
+                .current_availability()
+                .is_none_or(|availability| availability.is_open(Instant::now()))
     }
 
     /// Returns whether the endpoint is not draining, as far as known; it may be in
     /// backoff.
-    pub fn is_staying(&self) -> bool {
-        self.is_listed_open() && !self.said().is_some_and(|said| said.leaves())
+    pub fn stays_in_service(&self) -> bool {
+        self.is_listed_available()
+            && !self
+                .current_availability()
+                .is_some_and(|availability| availability.leaves())
     }
 
     /// Returns whether the endpoint is listed as taking requests and no other run is
     /// known to have its address.
-    fn is_listed_open(&self) -> bool {
+    fn is_listed_available(&self) -> bool {
         let gone = self.gone_until.lock().is_some_and(|until| until > Instant::now());
-        !gone && !self.endpoint.load().leaving && self.followed_by().is_none()
+        !gone && !self.endpoint.load().leaving && self.replaced_by().is_none()
     }
 
     /// Applies a notice from an answer to a request sent at `asked`, or from the agent,
     /// and returns the changes.
-    pub fn hear(&self, asked: Instant, notice: Notice) -> News {
+    pub fn apply_notice(&self, asked: Instant, notice: Notice) -> News {
         self.availability.lock().hear(Instant::now(), asked, notice, fastrand::f64())
     }
 
     /// Returns the endpoint's advertised rate limit while the limit is in force.
     pub fn rate_limit(&self) -> Option<RateLimit> {
-        self.said()?.rate_limit(Instant::now())
+        self.current_availability()?.rate_limit(Instant::now())
     }
 
     /// Returns whether the endpoint's rate limit is certain: reported by a live agent, or
     /// advertised recently. An older limit may have ended, which only the next request
     /// shows if no agent reports it.
-    pub fn is_surely_rated(&self) -> bool {
+    pub fn has_certain_rate_limit(&self) -> bool {
         let Some(limit) = self.rate_limit() else { return false };
-        let by_agent = self.link.as_ref().is_some_and(|link| link.names_rate());
+        let by_agent = self.link.as_ref().is_some_and(|link| link.has_advertised_rate());
         by_agent || limit.told_at().elapsed() < RATE_CERTAINTY_TIMEOUT
     }
 
     /// Records that the endpoint's rate is used up for the time `wait`.
-    pub fn is_used_up(&self, wait: Duration) {
-        *self.used_up_until.lock() = Some(Instant::now() + wait);
+    pub fn set_rate_used_up(&self, wait: Duration) {
+        *self.rate_used_up_until.lock() = Some(Instant::now() + wait);
     }
 
     /// Returns whether the endpoint may be sent a request now: it takes requests, and its
     /// rate is not used up.
     pub fn takes_request(&self) -> bool {
         let now = Instant::now();
-        let takes =
-            |said: &Availability| said.is_open(now) && self.used_up(now, said).is_none();
-        self.is_listed_open() && self.said().as_ref().is_none_or(takes)
+        let takes = |availability: &Availability| {
+            availability.is_open(now)
+                && self.rate_used_up_for(now, availability).is_none()
+        };
+        self.is_listed_available()
+            && self.current_availability().as_ref().is_none_or(takes)
     }
 
     /// Returns the time for which no request may be sent, due to backoff or a used-up
     /// rate; `None` if neither applies.
-    pub fn back_in(&self) -> Option<Duration> {
-        let (now, said) = (Instant::now(), self.said()?);
-        said.rests_for(now).max(self.used_up(now, &said))
-    }
-
-    fn used_up(&self, now: Instant, said: &Availability) -> Option<Duration> {
-        said.rate_limit(now)?;
-        let until = *self.used_up_until.lock();
+    pub fn unavailable_for(&self) -> Option<Duration> {
+        let (now, availability) = (Instant::now(), self.current_availability()?);
+        availability.rests_for(now).max(self.rate_used_up_for(now, &availability))
+    }
+
+    fn rate_used_up_for(
+        &self,
+        now: Instant,
+        availability: &Availability,
+    ) -> Option<Duration> {
+        availability.rate_limit(now)?;
+        let until = *self.rate_used_up_until.lock();
         let left = until?.checked_duration_since(now)?;
         (!left.is_zero()).then_some(left)
     }
 
     /// Takes the agent's latest change of the endpoint's advertised rate, if any.
-    pub fn take_rate_word(&self) -> Option<RateWord> {
-        let (run, word) = self.link.as_ref()?.take_rate_word()?;
+    pub fn take_rate_change(&self) -> Option<RateWord> {
+        let (run, word) = self.link.as_ref()?.take_rate_change()?;
         (run == self.endpoint.load().id).then_some(word)
     }
 
     /// Returns whether the agent reports that the endpoint is draining.
-    pub fn leaves_by_agent(&self) -> bool {
-        let leaving = self.link.as_ref().and_then(|link| link.leaving());
+    pub fn reported_draining(&self) -> bool {
+        let leaving = self.link.as_ref().and_then(|link| link.draining_run());
         leaving.is_some_and(|run| run == self.endpoint.load().id)
     }
 
@@ -205,50 +217,50 @@
 
     /// Returns the endpoint's availability without the notices of an earlier run under
     /// the same id; `None` if no notice is in force, as for most endpoints.
-    fn said(&self) -> Option<Availability> {
-        let mut said = self.availability.lock();
-        if said.is_silent() {
+    fn current_availability(&self) -> Option<Availability> {
+        let mut availability = self.availability.lock();
+        if availability.is_silent() {
             return None;
         }
-        let run = self.link.as_ref().and_then(|link| link.run_named());
+        let run = self.link.as_ref().and_then(|link| link.reported_run());
         let again = run.filter(|r| r.in_place && r.id == self.endpoint.load().id);
         if let Some(run) = again {
-            said.renewed(run.since);
+            availability.renewed(run.since);
         }
-        Some(*said)
+        Some(*availability)
     }
 
     /// Returns the run that has replaced this one at its address, as reported by the
     /// agent.
-    pub fn followed_by(&self) -> Option<ReportedRun> {
-        let run = self.link.as_ref()?.run_named()?;
+    pub fn replaced_by(&self) -> Option<ReportedRun> {
+        let run = self.link.as_ref()?.reported_run()?;
         (run.id != self.endpoint.load().id && run.since > self.since).then_some(run)
     }
 
     /// Returns whether another run has the address, as shown by one of its answers or
     /// reported by the agent after `since`. The run may have the same id.
-    pub fn has_next_run(&self, since: Instant) -> bool {
+    pub fn has_other_run(&self, since: Instant) -> bool {
         let answered = self.gone_until.lock().is_some_and(|until| until > Instant::now());
-        let named = self.link.as_ref().and_then(|link| link.run_named());
+        let named = self.link.as_ref().and_then(|link| link.reported_run());
         answered || named.is_some_and(|run| run.in_place && run.since > since)
     }
 
     /// Records that another run answered at the address.
-    pub fn is_gone(&self) {
+    pub fn mark_gone(&self) {
         *self.gone_until.lock() = Some(Instant::now() + GONE_TIMEOUT);
     }
 
     /// Records an interrupted request; returns whether it is the first since
-    /// [`Peer::take_broken`].
-    pub fn broke(&self, request: InterruptedRequest) -> bool {
-        let mut broken = self.broken.lock();
-        broken.push(request);
-        broken.len() == 1
+    /// [`Peer::take_interrupted`].
+    pub fn record_interrupted(&self, request: InterruptedRequest) -> bool {
+        let mut interrupted = self.interrupted.lock();
+        interrupted.push(request);
+        interrupted.len() == 1
     }
 
     /// Takes the recorded interrupted requests.
-    pub fn take_broken(&self) -> Vec<InterruptedRequest> {
-        std::mem::take(&mut *self.broken.lock())
+    pub fn take_interrupted(&self) -> Vec<InterruptedRequest> {
+        std::mem::take(&mut *self.interrupted.lock())
     }
 
     /// Updates the endpoint as listed by the platform.
@@ -258,13 +270,13 @@
     }
 
     /// Returns the number of this entry's requests that are open at the endpoint.
-    pub fn open(&self) -> u32 {
-        self.open.load(Ordering::Relaxed)
+    pub fn open_requests(&self) -> u32 {
+        self.open_requests.load(Ordering::Relaxed)
     }
 
     /// Counts a request as open until the result is dropped.
-    pub fn enter(self: &Arc<Self>) -> OpenRequest {
-        self.open.fetch_add(1, Ordering::Relaxed);
+    pub fn open_request(self: &Arc<Self>) -> OpenRequest {
+        self.open_requests.fetch_add(1, Ordering::Relaxed);
         OpenRequest { peer: self.clone(), prefill_tokens: AtomicU32::new(0) }
     }
 
@@ -282,7 +294,7 @@
     /// that must not run twice, stricter limits apply.
     pub fn take_idle(&self, cx: &mut Context<'_>, run_once: bool) -> Option<Conn> {
         let now = Instant::now();
-        if run_once && self.garbles(now) {
+        if run_once && self.is_corrupted(now) {
             return None;
         }
         loop {
@@ -315,7 +327,7 @@
     }
 
     /// Closes connections that were idle for too long.
-    pub fn sweep(&self) {
+    pub fn close_expired(&self) {
         let now = Instant::now();
         self.idle.lock().retain(|conn| {
             now.saturating_duration_since(conn.rested_since) < idle_limit(conn, false)
@@ -324,8 +336,8 @@
 
     /// Records that an answer to another request came on one of the connections, and
     /// closes the idle ones.
-    pub fn garbled(&self) {
-        *self.garbles_until.lock() = Some(Instant::now() + CORRUPTION_TIMEOUT);
+    pub fn mark_corrupted(&self) {
+        *self.corrupted_until.lock() = Some(Instant::now() + CORRUPTION_TIMEOUT);
         self.idle.lock().clear();
     }
 
@@ -346,8 +358,8 @@
         }
     }
 
-    fn garbles(&self, now: Instant) -> bool {
-        self.garbles_until.lock().is_some_and(|until| until > now)
+    fn is_corrupted(&self, now: Instant) -> bool {
+        self.corrupted_until.lock().is_some_and(|until| until > now)
     }
 }
 
@@ -368,7 +380,7 @@
 impl Drop for OpenRequest {
     fn drop(&mut self) {
         self.end_prefill();
-        self.peer.open.fetch_sub(1, Ordering::Relaxed);
+        self.peer.open_requests.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
@@ -388,8 +400,8 @@
 }
 
 fn idle_limit(conn: &Conn, run_once: bool) -> Duration {
-    let said = conn.keep_alive.map(|kept| kept.mul_f64(IDLE_FRACTION));
-    let limit = said.unwrap_or(DEFAULT_IDLE_LIMIT);
+    let availability = conn.keep_alive.map(|kept| kept.mul_f64(IDLE_FRACTION));
+    let limit = availability.unwrap_or(DEFAULT_IDLE_LIMIT);
     if run_once {
         limit.min(RUN_ONCE_IDLE_LIMIT)
     } else {
--- a/crates/larkspring/src/direct/entry/permits.rs
+++ b/crates/larkspring/src/direct/entry/permits.rs
@@ -17,9 +17,9 @@
     fleet: Arc<Fleet>,
     stats: Arc<Stats>,
     /// Agents that did not reply, with the time until which they get no requests.
-    passed_over: Mutex<Vec<(String, Instant)>>,
+    skipped: Mutex<Vec<(String, Instant)>>,
     /// Issues permits for a part of each rate while no agent is known.
-    own: Mutex<permits::Permits>,
+    self_issuer: Mutex<permits::Permits>,
 }
 
 /// A permit to send one request to a run.
@@ -47,11 +47,11 @@
 impl Permits {
     /// Creates a client without requests.
     pub fn new(fleet: Arc<Fleet>, stats: Arc<Stats>) -> Self {
-        Self { fleet, stats, passed_over: Mutex::default(), own: Mutex::default() }
+        Self { fleet, stats, skipped: Mutex::default(), self_issuer: Mutex::default() }
     }
 
     /// Requests a permit to send a request to an endpoint.
-    pub async fn ask(&self, peer: &Peer) -> PermitOutcome {
+    pub async fn request(&self, peer: &Peer) -> PermitOutcome {
         let now = Instant::now();
         let Some(limit) = peer.rate_limit() else { return PermitOutcome::Unlimited };
         let Some(rate) = limit.in_force(now) else { return PermitOutcome::Unlimited };
@@ -61,7 +61,7 @@
             age: now.saturating_duration_since(limit.told_at()),
             home: Home::First,
         };
-        let verdict = self.verdict(peer, ask).await;
+        let verdict = self.request_verdict(peer, ask).await;
         self.stats.permit(match verdict {
             Some(Verdict::Granted) => "granted",
             Some(Verdict::Denied(_)) => "denied",
@@ -76,38 +76,38 @@
 
     /// Requests a permit from the primary issuer of a run, then from the secondary if the
     /// primary does not reply. Issues the permit itself if no agent is known.
-    async fn verdict(&self, peer: &Peer, ask: Ask) -> Option<Verdict> {
+    async fn request_verdict(&self, peer: &Peer, ask: Ask) -> Option<Verdict> {
         let beside = peer.link.clone();
         let first = beside.or_else(|| self.fleet.ranked_link(ask.run, None));
         let Some(first) = first else {
             let ask = Ask { home: Home::Alone, ..ask };
-            return Some(self.own.lock().ask(Instant::now(), &ask));
+            return Some(self.self_issuer.lock().ask(Instant::now(), &ask));
         };
-        if let Some(verdict) = self.ask_agent(&first, &ask).await {
+        if let Some(verdict) = self.request_from_agent(&first, &ask).await {
             return Some(verdict);
         }
         let second = self.fleet.ranked_link(ask.run, Some(&first))?;
-        self.ask_agent(&second, &Ask { home: Home::Second, ..ask }).await
+        self.request_from_agent(&second, &Ask { home: Home::Second, ..ask }).await
     }
 
     /// Requests a permit from an agent, unless the agent recently failed to reply.
-    async fn ask_agent(&self, link: &Link, ask: &Ask) -> Option<Verdict> {
-        if self.is_passed_over(link.addr()) {
+    async fn request_from_agent(&self, link: &Link, ask: &Ask) -> Option<Verdict> {
+        if self.is_skipped(link.addr()) {
             return None;
         }
-        let verdict = link.permit(ask).await;
+        let verdict = link.request_permit(ask).await;
         if verdict.is_none() {
             let until = Instant::now() + SKIP_DURATION;
-            self.passed_over.lock().push((link.addr().into(), until));
+            self.skipped.lock().push((link.addr().into(), until));
         }
         verdict
     }
 
-    fn is_passed_over(&self, addr: &str) -> bool {
+    fn is_skipped(&self, addr: &str) -> bool {
         let now = Instant::now();
-        let mut passed_over = self.passed_over.lock();
-        passed_over.retain(|(_, until)| *until > now);
-        passed_over.iter().any(|(out, _)| out == addr)
+        let mut skipped = self.skipped.lock();
+        skipped.retain(|(_, until)| *until > now);
+        skipped.iter().any(|(out, _)| out == addr)
     }
 }
 
@@ -117,7 +117,7 @@
     }
 
     /// Returns whether the permit has not expired.
-    pub fn holds(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         Instant::now() < self.until
     }
 }
--- a/crates/larkspring/src/direct/entry/place.rs
+++ b/crates/larkspring/src/direct/entry/place.rs
@@ -52,12 +52,12 @@
     /// If no endpoint is available, waits for the duration of [`Job::max_wait`]. If all
     /// are in backoff or have used up their rates, refuses the request at once unless the
     /// first becomes available within the latency objective.
-    pub(super) async fn place(&mut self) -> Result<Selection, NoSelection> {
+    pub(super) async fn select_endpoint(&mut self) -> Result<Selection, NoSelection> {
         let mut denials = 0;
         loop {
-            let news = self.entry.fleet.news();
-            let selection = match self.try_place().await {
-                Ok(selection) => self.permitted(selection).await,
+            let change = self.entry.fleet.listen();
+            let selection = match self.try_select().await {
+                Ok(selection) => self.with_permit(selection).await,
                 Err(e) => Err(e),
             };
             match &selection {
@@ -70,16 +70,21 @@
                 Err(_) => {}
             }
             let Err((Reason::NoEndpoint, _)) = selection else { return selection };
-            if let Some(back) = self.entry.fleet.first_back(&self.service.name) {
-                if back > self.max_backoff_wait() {
-                    return Err((Reason::InBackoff, Some(retry_after_backoff(back))));
+            if let Some(available_in) =
+                self.entry.fleet.next_available_in(&self.service.name)
+            {
+                if available_in > self.max_backoff_wait() {
+                    return Err((
+                        Reason::InBackoff,
+                        Some(retry_after_backoff(available_in)),
+                    ));
                 }
                 // Waits for the end of the backoff or for a change of the fleet.
-                within(back, news).await;
+                within(available_in, change).await;
                 continue;
             }
             let timeout = self.max_wait();
-            if timeout.is_zero() || within(timeout, news).await.is_none() {
+            if timeout.is_zero() || within(timeout, change).await.is_none() {
                 return selection;
             }
         }
@@ -87,22 +92,22 @@
 
     /// Requests a permit for the selected endpoint if it is rate-limited and there is
     /// none.
-    async fn permitted(&self, selection: Selection) -> Result<Selection, NoSelection> {
-        if selection.permit.is_some_and(|permit| permit.holds()) {
+    async fn with_permit(&self, selection: Selection) -> Result<Selection, NoSelection> {
+        if selection.permit.is_some_and(|permit| permit.is_valid()) {
             return Ok(selection);
         }
-        let permit = self.permit(&selection.open_request.peer).await?;
+        let permit = self.request_permit(&selection.open_request.peer).await?;
         Ok(Selection { permit, ..selection })
     }
 
     /// Requests a permit to send to an endpoint; `None` if the endpoint has no rate
     /// limit.
-    async fn permit(&self, peer: &Peer) -> Result<Option<Permit>, NoSelection> {
-        match self.entry.permits.ask(peer).await {
+    async fn request_permit(&self, peer: &Peer) -> Result<Option<Permit>, NoSelection> {
+        match self.entry.permits.request(peer).await {
             PermitOutcome::Unlimited => Ok(None),
             PermitOutcome::Granted(permit) => Ok(Some(permit)),
             PermitOutcome::Denied(wait) => {
-                peer.is_used_up(wait);
+                peer.set_rate_used_up(wait);
                 Err((Reason::RateUsedUp, Some(retry_after_backoff(wait))))
             }
         }
@@ -113,11 +118,11 @@
     fn max_backoff_wait(&self) -> Duration {
         match self.history.may_have_run {
             true => self.max_wait(),
-            false => self.max_wait().min(self.objective_left()),
+            false => self.max_wait().min(self.time_to_objective()),
         }
     }
 
-    async fn try_place(&mut self) -> Result<Selection, NoSelection> {
+    async fn try_select(&mut self) -> Result<Selection, NoSelection> {
         if self.time_left() < MIN_TIME_LEFT {
             return Err((Reason::TimedOutNotRun, None));
         }
@@ -125,15 +130,15 @@
         let engine = self.service.engine.clone();
         match (model, engine) {
             (Some(model), Some(engine)) => match model.adapter.clone() {
-                Some(adapter) => self.place_adapter(&model, &adapter, &engine).await,
-                None => self.place_base(&model, &engine),
+                Some(adapter) => self.select_for_adapter(&model, &adapter, &engine).await,
+                None => self.select_for_base(&model, &engine),
             },
-            _ => self.place_any(),
+            _ => self.select_plain(),
         }
     }
 
-    fn place_any(&self) -> Result<Selection, NoSelection> {
-        let peers = self.open_peers();
+    fn select_plain(&self) -> Result<Selection, NoSelection> {
+        let peers = self.candidates();
         let now = Instant::now();
         let views: Vec<_> = peers.iter().map(|p| self.plain_view(now, p)).collect();
         let times = peers.iter().map(|p| p.quality(|q| q.time()));
@@ -148,7 +153,7 @@
 
     /// Selects an endpoint for a request to the base model alone, which every engine
     /// holds.
-    fn place_base(
+    fn select_for_base(
         &self,
         model: &ModelRequest,
         engine: &Engine,
@@ -160,12 +165,15 @@
             view.quality += Duration::from_secs_f64(batch_cost(&view) / 1000.0);
             view
         };
-        let seen = self.open_peers().into_iter().map(|p| (view(&p), p));
+        let seen = self.candidates().into_iter().map(|p| (view(&p), p));
         // An engine that is still loading its base model would refuse the request.
         // Engines whose agents have not reported yet may be loading theirs.
-        let is_coming = |p: &Peer| p.link.as_ref().is_some_and(|link| link.is_coming());
-        let (views, peers): (Vec<_>, Vec<_>) =
-            seen.filter(|(view, p)| !view.filling && !is_coming(p)).unzip();
+        let is_first_message_pending = |p: &Peer| {
+            p.link.as_ref().is_some_and(|link| link.is_first_message_pending())
+        };
+        let (views, peers): (Vec<_>, Vec<_>) = seen
+            .filter(|(view, p)| !view.filling && !is_first_message_pending(p))
+            .unzip();
         let chosen = for_any(&views, Duration::ZERO);
         if let Some(at) = chosen {
             peers[at].record_prompt(base, model);
@@ -173,26 +181,27 @@
         self.selection(&peers, &views, chosen)
     }
 
-    async fn place_adapter(
+    async fn select_for_adapter(
         &mut self,
         model: &ModelRequest,
         adapter: &AdapterId,
         engine: &Engine,
     ) -> Result<Selection, NoSelection> {
         let mut last: NoSelection = (Reason::NoEndpoint, None);
-        let mut passed_over = Vec::new();
+        let mut excluded = Vec::new();
         let mut holds = 0;
         while holds < MAX_HOLD_REQUESTS {
-            let Some(choice) = self.choose(model, adapter, engine, &passed_over) else {
+            let Some(chosen) = self.select_adapter(model, adapter, engine, &excluded)
+            else {
                 break;
             };
-            self.inputs = Some(choice.inputs.clone());
-            passed_over.push(choice.peer.endpoint().id.clone());
+            self.inputs = Some(chosen.inputs.clone());
+            excluded.push(chosen.peer.endpoint().id.clone());
             // The permit comes first: without it the adapter might be loaded for nothing.
-            match self.permit(&choice.peer).await {
+            match self.request_permit(&chosen.peer).await {
                 Ok(permit) => {
                     holds += 1;
-                    match self.hold(choice, model).await {
+                    match self.request_hold(chosen, model).await {
                         Ok(selection) => return Ok(Selection { permit, ..selection }),
                         Err(Some(refused)) => last = refused,
                         Err(None) => {}
@@ -209,74 +218,78 @@
 
     /// Requests a hold of the adapter from the selected endpoint's agent. A refusal
     /// carries the time after which the caller may retry.
-    async fn hold(
+    async fn request_hold(
         &mut self,
-        choice: AdapterSelection,
+        chosen: AdapterSelection,
         model: &ModelRequest,
     ) -> Result<Selection, Option<NoSelection>> {
-        let AdapterSelection { peer, target, agent, inputs } = choice;
+        let AdapterSelection { peer, target, needs_hold, inputs } = chosen;
         let hash = target.hash();
         let unread_tokens = inputs.unread_tokens;
-        let in_time = self.in_time(&inputs);
-        let open = peer.enter();
+        let load_time_limit = self.load_time_limit(&inputs);
+        let open = peer.open_request();
         let selection =
             |open, hold| Selection::new(open, Some(target.clone()), inputs, hold);
-        let link = peer.link.as_ref().filter(|_| agent);
+        let link = peer.link.as_ref().filter(|_| needs_hold);
         let Some(link) = link else {
             peer.record_prompt(hash, model);
             return Ok(selection(open, None));
         };
         let asked = Instant::now();
         let limit = self.time_left().saturating_sub(MIN_TIME_LEFT);
-        let was = link.holding(hash);
-        let resident = was == Some(Holding::Resident);
+        let held_before = link.holding(hash);
+        let resident = held_before == Some(Holding::Resident);
         let timeout = if resident { limit.min(GRANT_TIMEOUT) } else { limit };
         let need = HoldRequest {
             priority: self.priority(),
             wait: limit,
             request: &self.caller.id,
             unread_tokens,
-            worth: self.worth(model),
-            in_time,
+            utility: self.utility(model),
+            load_time_limit,
         };
-        let mut hold = link.hold(target.clone(), need);
+        let mut hold = link.request_hold(target.clone(), need);
         let fleet = self.entry.fleet.clone();
-        let leaves = async {
-            fleet.leaves(&peer).await;
+        let unavailable = async {
+            fleet.wait_unavailable(&peer).await;
             HoldEnd::Lost
         };
-        let end = within(timeout, future::or(leaves, hold.granted())).await;
+        let end = within(timeout, future::or(unavailable, hold.wait_granted())).await;
         let took = asked.elapsed();
         self.waited += took;
         // The engine may have restarted meanwhile; the grant then applies to its new run.
-        let now_there = fleet.present(&peer);
-        if !now_there.is_open() {
+        let current_peer = fleet.current_run(&peer);
+        if !current_peer.is_open() {
             // The endpoint began to drain or back off during the wait for the adapter.
-            self.log_hold(&peer, "the endpoint is draining or in backoff", took);
+            self.log_not_held(&peer, "the endpoint is draining or in backoff", took);
             return Err(None);
         }
-        let open = if Arc::ptr_eq(&now_there, &peer) { open } else { now_there.enter() };
-        let peer = now_there;
-        let (counted, reason) = match end {
+        let open = if Arc::ptr_eq(&current_peer, &peer) {
+            open
+        } else {
+            current_peer.open_request()
+        };
+        let peer = current_peer;
+        let (label, reason) = match end {
             Some(HoldEnd::Granted { copy_pays }) => {
                 self.entry.stats.hold("granted");
-                self.entry.stats.adapter_wait(holding_name(was), took);
+                self.entry.stats.adapter_wait(holding_name(held_before), took);
                 if copy_pays {
-                    self.copy_here(&target, model);
+                    self.preload_in_hall(&target, model);
                 }
                 peer.record_prompt(hash, model);
                 return Ok(selection(open, Some(hold)));
             }
             Some(HoldEnd::Refused { reason, retry_after }) => {
                 self.entry.stats.hold("refused");
-                self.log_hold(&peer, &reason, took);
+                self.log_not_held(&peer, &reason, took);
                 return Err(Some((Reason::NoAdapterInTime, Some(retry_after))));
             }
             Some(HoldEnd::Lost) => ("lost", "the agent is silent"),
             None => ("late", "the agent did not grant the hold in time"),
         };
-        self.entry.stats.hold(counted);
-        self.log_hold(&peer, reason, took);
+        self.entry.stats.hold(label);
+        self.log_not_held(&peer, reason, took);
         if !resident {
             return Err(None);
         }
@@ -287,7 +300,7 @@
     }
 
     /// Returns the utility of an answer in time, relative to other requests.
-    fn worth(&self, model: &ModelRequest) -> f64 {
+    fn utility(&self, model: &ModelRequest) -> f64 {
         match self.entry.cfg().without.uses(Mechanism::WorthBySize) {
             true => worth::of_prompt(model.prompt_tokens),
             false => worth::of_prompt(0),
@@ -296,31 +309,31 @@
 
     /// Returns the load time within which the answer can still begin within the
     /// objective.
-    fn in_time(&self, inputs: &SelectionInputs) -> Duration {
+    fn load_time_limit(&self, inputs: &SelectionInputs) -> Duration {
         let unread = inputs.reading_tokens + inputs.unread_tokens;
-        self.objective_left().saturating_sub(reading_time(unread))
+        self.time_to_objective().saturating_sub(reading_time(unread))
     }
 
     /// Returns the time left until the latency objective is missed.
-    fn objective_left(&self) -> Duration {
+    fn time_to_objective(&self) -> Duration {
         self.route.objective.saturating_sub(self.received.elapsed())
     }
 
     /// Selects an endpoint and the version of the adapter to run there.
-    fn choose(
+    fn select_adapter(
         &self,
         model: &ModelRequest,
         adapter: &AdapterId,
         engine: &Engine,
-        passed_over: &[Incarnation],
+        excluded: &[Incarnation],
     ) -> Option<AdapterSelection> {
         let now = Instant::now();
         let versions = self.entry.beliefs.versions();
         let newest = versions.newest(adapter);
         let target = Target { adapter: adapter.clone(), version: newest };
         let hash = target.hash();
-        let mut peers = self.open_peers();
-        peers.retain(|p| !passed_over.contains(&p.endpoint().id));
+        let mut peers = self.candidates();
+        peers.retain(|p| !excluded.contains(&p.endpoint().id));
         let peers =
             ranked(hash, peers.into_iter().map(|p| (p.endpoint(), p)).collect(), |e| {
                 &e.0.id
@@ -334,11 +347,11 @@
             // queued at an engine when use of the previous version ends.
             let repeatable = self.route.class.may_run_again();
             let old = versions.still_allowed(now, adapter).filter(|_| repeatable);
-            if let Some(choice) =
-                old.and_then(|v| self.choose_old(&peers, adapter, v, model, engine))
-            {
-                self.copy_ahead(&peers, &views, &target);
-                return Some(choice);
+            if let Some(chosen) = old.and_then(|v| {
+                self.select_previous_version(&peers, adapter, v, model, engine)
+            }) {
+                self.preload_ahead(&peers, &views, &target);
+                return Some(chosen);
             }
         }
         let without = self.entry.cfg().without;
@@ -348,13 +361,13 @@
             Placement::Random => choose_random(&views)?,
             Placement::Least => least_running(&views)?,
         };
-        let agent = views[at].can_load;
+        let needs_hold = views[at].can_load;
         let inputs = SelectionInputs::new(&peers[at], &views, at);
-        Some(AdapterSelection { peer: peers[at].clone(), target, agent, inputs })
+        Some(AdapterSelection { peer: peers[at].clone(), target, needs_hold, inputs })
     }
 
     /// Selects among the endpoints that hold the previous version, while it is allowed.
-    fn choose_old(
+    fn select_previous_version(
         &self,
         peers: &[Arc<Peer>],
         adapter: &AdapterId,
@@ -380,24 +393,24 @@
         Some(AdapterSelection {
             peer: peers[at].clone(),
             target,
-            agent: views[at].can_load,
+            needs_hold: views[at].can_load,
             inputs,
         })
     }
 
     /// Preloads an adapter at the endpoint that would be selected for its new version.
-    fn copy_ahead(&self, peers: &[Arc<Peer>], views: &[View], target: &Target) {
+    fn preload_ahead(&self, peers: &[Arc<Peer>], views: &[View], target: &Target) {
         let at = for_adapter(views, self.entry.cfg().without);
-        self.copy(at.map(|at| &peers[at]), target);
+        self.preload(at.map(|at| &peers[at]), target);
     }
 
     /// Preloads an adapter at the highest-ranked suitable endpoint of this hall, unless
     /// an endpoint of the hall holds or loads it.
-    fn copy_here(&self, target: &Target, model: &ModelRequest) {
+    fn preload_in_hall(&self, target: &Target, model: &ModelRequest) {
         let Some(engine) = &self.service.engine else { return };
         let (now, hash) = (Instant::now(), target.hash());
         let hall = &self.entry.cfg().process.hall;
-        let mut peers = self.entry.fleet.open(&self.service.name);
+        let mut peers = self.entry.fleet.available(&self.service.name);
         peers.retain(|p| p.endpoint().hall == *hall);
         let peers =
             ranked(hash, peers.into_iter().map(|p| (p.endpoint(), p)).collect(), |e| {
@@ -417,10 +430,10 @@
         };
         let copied = |v: &View| v.holding == Holding::Copied && fit(v);
         let at = views.iter().position(copied).or_else(|| views.iter().position(fit));
-        self.copy(at.map(|at| &peers[at]), target);
+        self.preload(at.map(|at| &peers[at]), target);
     }
 
-    fn copy(&self, peer: Option<&Arc<Peer>>, target: &Target) {
+    fn preload(&self, peer: Option<&Arc<Peer>>, target: &Target) {
         if !self.entry.cfg().without.uses(Mechanism::CopyAhead) {
             return;
         }
@@ -433,21 +446,21 @@
             wait: PRELOAD_TIMEOUT,
             request: "",
             unread_tokens: 0,
-            worth: worth::OF_COPY,
-            in_time: PRELOAD_TIMEOUT,
+            utility: worth::OF_COPY,
+            load_time_limit: PRELOAD_TIMEOUT,
         };
-        let mut hold = link.hold(target.clone(), need);
+        let mut hold = link.request_hold(target.clone(), need);
         let stats = self.entry.stats.clone();
         crate::exec::spawn(async move {
-            let end = within(PRELOAD_TIMEOUT, hold.granted()).await;
+            let end = within(PRELOAD_TIMEOUT, hold.wait_granted()).await;
             let granted = end.is_some_and(|end| end.is_granted());
             stats.hold(if granted { "copied" } else { "not copied" });
         })
         .detach();
     }
 
-    fn open_peers(&self) -> Vec<Arc<Peer>> {
-        let mut peers = self.entry.fleet.open(&self.service.name);
+    fn candidates(&self) -> Vec<Arc<Peer>> {
+        let mut peers = self.entry.fleet.available(&self.service.name);
         let untried = |p: &Arc<Peer>| !self.tried.contains(&p.endpoint().id);
         if peers.iter().any(untried) {
             peers.retain(untried);
@@ -465,10 +478,10 @@
             return Err((Reason::NoEndpoint, None));
         };
         let inputs = SelectionInputs::new(&peers[at], views, at);
-        Ok(Selection::new(peers[at].enter(), None, inputs, None))
+        Ok(Selection::new(peers[at].open_request(), None, inputs, None))
     }
 
-    fn log_hold(&self, peer: &Peer, reason: &str, took: Duration) {
+    fn log_not_held(&self, peer: &Peer, reason: &str, took: Duration) {
         if logs::allows(Line::Attempt) {
             tracing::info!(
                 event = "adapter not held",
@@ -486,7 +499,7 @@
     peer: Arc<Peer>,
     target: Target,
     /// Whether a hold is requested from the endpoint's agent first.
-    agent: bool,
+    needs_hold: bool,
     inputs: SelectionInputs,
 }
 
--- a/crates/larkspring/src/direct/entry/relay.rs
+++ b/crates/larkspring/src/direct/entry/relay.rs
@@ -162,7 +162,7 @@
         let peer = open.selection.open_request.peer.clone();
         peer.add_idle(open.conn, cx);
         if self.is_success {
-            self.crashes.answered(self.fingerprint);
+            self.crashes.record_answer(self.fingerprint);
         }
         match self.events.as_mut().map(EventSplitter::rest) {
             Some(rest) if !rest.is_empty() => Step::Data(rest),
@@ -175,7 +175,7 @@
         let from = std::mem::replace(&mut self.from, AnswerSource::Ended);
         if let AnswerSource::Endpoint(open) = &from {
             let selection = &open.selection;
-            self.crashes.broke(
+            self.crashes.connection_broke(
                 &selection.open_request.peer,
                 self.fingerprint,
                 &self.id,
--- a/crates/larkspring/src/direct/entry/view.rs
+++ b/crates/larkspring/src/direct/entry/view.rs
@@ -22,7 +22,7 @@
         View {
             same_hall: endpoint.hall == self.entry.cfg().process.hall,
             holding: Holding::Resident,
-            running: peer.open(),
+            running: peer.open_requests(),
             slots: endpoint.slots as u32,
             free_places: 0,
             loads_ahead: 0,
@@ -36,7 +36,7 @@
                 Duration::ZERO
             },
             avoided: peer.quality(|q| q.avoided(now)),
-            rated: peer.is_surely_rated(),
+            rated: peer.has_certain_rate_limit(),
         }
     }
 
@@ -73,7 +73,7 @@
         view.holding = match link.holding(target) {
             Some(Holding::Copied) if !without.uses(Mechanism::Copies) => Holding::Absent,
             Some(holding) => holding,
-            None if link.is_coming() => Holding::Absent,
+            None if link.is_first_message_pending() => Holding::Absent,
             None => listed(),
         };
         view
