--- a/crates/larkspring/src/direct/entry/attempt.rs
+++ b/crates/larkspring/src/direct/entry/attempt.rs
@@ -32,7 +32,7 @@
     /// The adapter and version on which the request has to run.
     pub target: Option<Target>,
     /// When the endpoint was chosen, just before the request is sent.
-    pub began: Instant,
+    pub selected_at: Instant,
     /// The inputs of the selection.
     pub inputs: SelectionInputs,
     /// The permit to send the request, if the endpoint is rate-limited.
@@ -84,7 +84,7 @@
         Self {
             open_request,
             target,
-            began: Instant::now(),
+            selected_at: Instant::now(),
             inputs,
             permit: None,
             _hold: hold,
@@ -198,7 +198,7 @@
                     peer,
                     self.fingerprint,
                     &self.caller.id,
-                    selection.began,
+                    selection.selected_at,
                 );
                 (AttemptEnd::Unclear, e)
             }
@@ -269,7 +269,7 @@
         let answer_head = self.entry.protocol.answer(&head.headers, &self.caller.id);
         let endpoint = peer.endpoint();
         let status = head.status;
-        self.apply_notice(&head, &answer_head, peer, selection.began);
+        self.apply_notice(&head, &answer_head, peer, selection.selected_at);
         if answer_head.echo == Echo::Other {
             peer.mark_corrupted();
             log_attempt(self, peer, AttemptEnd::Unclear, "answer to another request");
@@ -329,7 +329,7 @@
         peer: &Arc<Peer>,
     ) -> Option<Bytes> {
         let OpenAnswer { body, mut conn, selection } = open;
-        let began = selection.began;
+        let selected_at = selection.selected_at;
         let read =
             conn.read(peer.endpoint().addr, body, MAX_BUFFERED_ANSWER as usize).await;
         drop(selection);
@@ -347,7 +347,7 @@
                     peer,
                     self.fingerprint,
                     &self.caller.id,
-                    began,
+                    selected_at,
                 );
                 log_attempt(self, peer, AttemptEnd::Unclear, &e.to_string());
                 None
--- a/crates/larkspring/src/direct/entry/body.rs
+++ b/crates/larkspring/src/direct/entry/body.rs
@@ -45,22 +45,22 @@
         return Err(Reason::BodyTooLarge);
     }
     let mut counted = BufferedBytes { entry: entry.clone(), len: 0 };
-    let mut held = BytesMut::new();
+    let mut buffered = BytesMut::new();
     while !body.is_end_stream() {
         let frame = poll_fn(|cx| Pin::new(&mut body).poll_frame(cx)).await;
         let Some(frame) = frame else { break };
         // A caller that disconnects while it sends the body never reads this answer.
         let frame = frame.map_err(|_| Reason::BadRequest)?;
         let Ok(data) = frame.into_data() else { continue };
-        if held.len() + data.len() > max {
+        if buffered.len() + data.len() > max {
             return Err(Reason::BodyTooLarge);
         }
-        held.extend_from_slice(&data);
-        if held.len() > MAX_BUFFERED_BODY || !counted.add(data.len()) {
-            return Ok(RequestBody::Streamed(Some((held.freeze(), body))));
+        buffered.extend_from_slice(&data);
+        if buffered.len() > MAX_BUFFERED_BODY || !counted.add(data.len()) {
+            return Ok(RequestBody::Streamed(Some((buffered.freeze(), body))));
         }
     }
-    Ok(RequestBody::Buffered { bytes: held.freeze(), _counted: counted })
+    Ok(RequestBody::Buffered { bytes: buffered.freeze(), _counted: counted })
 }
 
 impl BufferedBytes {
--- a/crates/larkspring/src/direct/entry/directory.rs
+++ b/crates/larkspring/src/direct/entry/directory.rs
@@ -35,12 +35,12 @@
     /// Maximum age of a routing by which requests are served; `None` for any age.
     trusted: Option<Duration>,
     /// Latest time at which the store is proved to have held no newer routing.
-    proved: Mutex<Option<Moment>>,
+    proved_at: Mutex<Option<Moment>>,
     /// When the store last answered the source of this entry's state, by kind.
-    heard: Mutex<[Option<Moment>; Kind::ALL.len()]>,
+    store_answered_at: Mutex<[Option<Moment>; Kind::ALL.len()]>,
     /// Agents that failed to return a usable state, with the time until which they get no
     /// requests.
-    passed_over: Mutex<Vec<(Incarnation, Instant)>>,
+    skipped: Mutex<Vec<(Incarnation, Instant)>>,
 }
 
 /// Minimum number of entries in a hall for reading through an agent. With fewer, the
@@ -81,42 +81,47 @@
             }),
             agent_paces: Kind::ALL.map(|kind| AgentPace::of(cfg.bound(kind))),
             trusted: cfg.trusted(),
-            proved: Mutex::default(),
-            heard: Mutex::default(),
-            passed_over: Mutex::default(),
+            proved_at: Mutex::default(),
+            store_answered_at: Mutex::default(),
+            skipped: Mutex::default(),
         }
     }
 
     async fn read_any(&self, ask: Ask) -> Result<Read, PlatformError> {
-        let read = self.read_in_turn(ask).await;
+        let read = self.read_sources(ask).await;
         if let Ok(Read::State(state)) = &read {
-            self.heard.lock()[ask.kind as usize] = Moment::now().checked_sub(state.age);
+            self.store_answered_at.lock()[ask.kind as usize] =
+                Moment::now().checked_sub(state.age);
         }
         if let (Kind::Routing, Ok(Read::State(state))) = (ask.kind, &read) {
-            let mut proved = self.proved.lock();
+            let mut proved = self.proved_at.lock();
             *proved = (*proved).max(state.proved);
         }
         read
     }
 
-    async fn read_in_turn(&self, ask: Ask) -> Result<Read, PlatformError> {
+    async fn read_sources(&self, ask: Ask) -> Result<Read, PlatformError> {
         let agents = self.agents();
         for peer in &agents {
-            match self.read_from(peer, self.paced(ask)).await {
+            match self.read_from(peer, self.without_wait_if_urgent(ask)).await {
                 Ok(state) => return Ok(Read::State(state)),
-                Err(cause) => self.pass_over(peer, ask.kind, &cause),
+                Err(cause) => self.skip(peer, ask.kind, &cause),
             }
         }
         // Failed reads from agents have used up the time to wait for a change.
-        let ask = if agents.is_empty() { self.paced(ask) } else { at_once(ask) };
+        let ask = if agents.is_empty() {
+            self.without_wait_if_urgent(ask)
+        } else {
+            without_wait(ask)
+        };
         let failure = match self.read_store(ask).await {
             Ok(read) => return Ok(read),
             Err(e) => e,
         };
-        for peer in self.far_agents() {
-            match self.read_from(&peer, at_once(ask)).await {
+        for peer in self.other_hall_agents() {
+            match self.read_from(&peer, without_wait(ask)).await {
                 Ok(state) => return Ok(Read::State(state)),
-                Err(cause) => self.pass_over(&peer, ask.kind, &cause),
+                Err(cause) => self.skip(&peer, ask.kind, &cause),
             }
         }
         Err(failure)
@@ -130,8 +135,8 @@
         let wait = ask.after.map_or(Duration::ZERO, |after| after.wait);
         let read = self.store.read(ask, pace);
         let read = within(wait + pace.answer + STORE_TIMEOUT, read).await;
-        let silent = || PlatformError::NoEffect("read objects", "no answer".into());
-        read.unwrap_or_else(|| Err(silent()))
+        let timed_out = || PlatformError::NoEffect("read objects", "no answer".into());
+        read.unwrap_or_else(|| Err(timed_out()))
     }
 
     /// Returns whether the routing's latest freshness proof is so old that the routing
@@ -141,13 +146,13 @@
             return false;
         };
         let urgent = trusted.mul_f64(URGENT_FRACTION);
-        self.proved.lock().is_none_or(|at| at.elapsed() > urgent)
+        self.proved_at.lock().is_none_or(|at| at.elapsed() > urgent)
     }
 
     /// Makes a read return without waiting for a change if it is urgent.
-    fn paced(&self, ask: Ask) -> Ask {
+    fn without_wait_if_urgent(&self, ask: Ask) -> Ask {
         match self.is_urgent(ask.kind) {
-            true => at_once(ask),
+            true => without_wait(ask),
             false => ask,
         }
     }
@@ -155,7 +160,7 @@
     /// Returns the time since the store answered the latest read of a kind, as reported
     /// by the source.
     fn age(&self, kind: Kind) -> Option<Duration> {
-        self.heard.lock()[kind as usize].map(|at| at.elapsed())
+        self.store_answered_at.lock()[kind as usize].map(|at| at.elapsed())
     }
 
     /// Returns the agents of the hall to ask, first the one on which all its entries
@@ -168,23 +173,26 @@
         if self.fleet.entry_counts().1 < MIN_ENTRIES {
             return Vec::new();
         }
-        self.first_of(&self.hall, MAX_AGENTS)
+        self.top_ranked(&self.hall, MAX_AGENTS)
     }
 
     /// Returns the agent of each other hall that reads the store for its own entries, for
     /// up to [`MAX_OTHER_HALL_AGENTS`] halls.
-    fn far_agents(&self) -> Vec<Arc<Peer>> {
+    fn other_hall_agents(&self) -> Vec<Arc<Peer>> {
         let halls = self.fleet.halls();
-        let far = halls.iter().filter(|hall| **hall != self.hall);
-        far.flat_map(|hall| self.first_of(hall, 1)).take(MAX_OTHER_HALL_AGENTS).collect()
+        let others = halls.iter().filter(|hall| **hall != self.hall);
+        others
+            .flat_map(|hall| self.top_ranked(hall, 1))
+            .take(MAX_OTHER_HALL_AGENTS)
+            .collect()
     }
 
-    fn first_of(&self, hall: &HallId, count: usize) -> Vec<Arc<Peer>> {
+    fn top_ranked(&self, hall: &HallId, count: usize) -> Vec<Arc<Peer>> {
         let peers = self.fleet.agents_in(hall);
         let now = Instant::now();
-        let mut passed_over = self.passed_over.lock();
-        passed_over.retain(|(_, until)| *until > now);
-        let is_out = |id: &Incarnation| passed_over.iter().any(|(out, _)| out == id);
+        let mut skipped = self.skipped.lock();
+        skipped.retain(|(_, until)| *until > now);
+        let is_out = |id: &Incarnation| skipped.iter().any(|(out, _)| out == id);
         let peers = peers.into_iter().map(|p| (p.endpoint().id.clone(), p)).collect();
         let ranked = ranked(xxh3_64(hall.as_bytes()), peers, |(id, _)| id);
         let first = ranked.into_iter().take(count);
@@ -200,7 +208,7 @@
         let known = ask.after.map_or(StorePoint::default(), |after| after.at);
         let wait = ask.after.map_or(wait, |after| after.wait.min(wait));
         let req = wire::ReadRequest {
-            kind: kind_of(ask.kind).into(),
+            kind: wire_kind(ask.kind).into(),
             after: known.revision(),
             epoch: Some(known.epoch()),
             wait_ms: wait.as_millis() as u64,
@@ -227,7 +235,7 @@
             return Err(format!("the agent's state is of epoch {}", at.epoch()));
         }
         let proof_age = Duration::from_millis(reply.proof_age_ms);
-        if self.is_unproved(ask.kind, proof_age) {
+        if self.is_proof_too_old(ask.kind, proof_age) {
             return Err(format!(
                 "the agent's freshness proof is {} ms old",
                 proof_age.as_millis()
@@ -251,18 +259,18 @@
     }
 
     /// Returns whether a freshness proof is so old that another source is asked.
-    fn is_unproved(&self, kind: Kind, age: Duration) -> bool {
+    fn is_proof_too_old(&self, kind: Kind, age: Duration) -> bool {
         let trusted = self.trusted.filter(|_| kind == Kind::Routing);
         trusted.is_some_and(|trusted| age > trusted.mul_f64(URGENT_FRACTION))
     }
 
-    fn pass_over(&self, peer: &Peer, kind: Kind, cause: &str) {
+    fn skip(&self, peer: &Peer, kind: Kind, cause: &str) {
         let id = peer.endpoint().id.clone();
         let agent = peer.link.as_ref().map(|link| link.addr()).unwrap_or_default();
         if logs::allows(logs::Line::Belief) {
             tracing::info!(event = "agent not asked", agent, kind = kind.name(), cause);
         }
-        self.passed_over.lock().push((id, Instant::now() + SKIP_DURATION));
+        self.skipped.lock().push((id, Instant::now() + SKIP_DURATION));
     }
 }
 
@@ -277,12 +285,12 @@
 }
 
 /// Makes a read return without waiting for a change.
-fn at_once(ask: Ask) -> Ask {
+fn without_wait(ask: Ask) -> Ask {
     let after = ask.after.map(|a| After { wait: a.wait.min(URGENT_WAIT), ..a });
     Ask { after, ..ask }
 }
 
-fn kind_of(kind: Kind) -> wire::Kind {
+fn wire_kind(kind: Kind) -> wire::Kind {
     match kind {
         Kind::Routing => wire::Kind::Routing,
         Kind::Endpoints => wire::Kind::Endpoints,
--- a/crates/larkspring/src/direct/entry/ends.rs
+++ b/crates/larkspring/src/direct/entry/ends.rs
@@ -112,11 +112,11 @@
     /// Records a complete answer, which clears the suspicion against its request.
     pub fn record_answer(&self, fingerprint: ContentHash) {
         let Some(cleared) = self.findings.answered(fingerprint) else { return };
-        self.crashes.lock().retain(|crashes| crashes.fingerprint != fingerprint);
-        let reported_to = wire::Findings { findings: vec![cleared] };
+        self.crashes.lock().retain(|crash| crash.fingerprint != fingerprint);
+        let report = wire::Findings { findings: vec![cleared] };
         for (_, link) in self.counting_agents(fingerprint) {
             // An agent that can't be reached keeps suspecting the request.
-            link.send_crash_reports(reported_to.clone());
+            link.send_crash_reports(report.clone());
         }
     }
 
@@ -129,8 +129,7 @@
     pub async fn run(self: Arc<Self>) {
         loop {
             Timer::after(REPORT_INTERVAL).await;
-            let recent =
-                |crashes: &DetectedCrash| crashes.end.at.elapsed() < REPORT_PERIOD;
+            let recent = |crash: &DetectedCrash| crash.end.at.elapsed() < REPORT_PERIOD;
             self.crashes.lock().retain(recent);
             if self.agents_changed() {
                 self.report();
@@ -213,15 +212,15 @@
     /// Reports each crash to the agents of its fingerprint that lack the report.
     fn report(&self) {
         let mut crashes = self.crashes.lock();
-        for crashes in crashes.iter_mut() {
-            for (addr, link) in self.counting_agents(crashes.fingerprint) {
+        for crash in crashes.iter_mut() {
+            for (addr, link) in self.counting_agents(crash.fingerprint) {
                 let key = (addr, link.connection_count());
-                if crashes.reported_to.contains(&key) {
+                if crash.reported_to.contains(&key) {
                     continue;
                 }
-                let ends = vec![write_end(crashes.fingerprint, &crashes.end)];
+                let ends = vec![write_end(crash.fingerprint, &crash.end)];
                 if link.report_crashes(wire::EndedUnder { ends }) {
-                    crashes.reported_to.push(key);
+                    crash.reported_to.push(key);
                 }
             }
         }
--- a/crates/larkspring/src/direct/entry/events.rs
+++ b/crates/larkspring/src/direct/entry/events.rs
@@ -9,7 +9,7 @@
 pub(super) struct EventSplitter {
     buf: BytesMut,
     /// Id of the last event that was returned.
-    pub last: Option<String>,
+    pub last_event_id: Option<String>,
 }
 
 /// Maximum size in bytes of a buffered event. Longer events are relayed in parts, after
@@ -20,8 +20,8 @@
 
 impl EventSplitter {
     /// Creates a splitter for a stream that continues after the event `last`.
-    pub fn after(last: Option<String>) -> Self {
-        Self { last, ..Self::default() }
+    pub fn resuming_after(last: Option<String>) -> Self {
+        Self { last_event_id: last, ..Self::default() }
     }
 
     /// Adds bytes and returns the whole events received so far.
@@ -35,18 +35,18 @@
         };
         let whole = self.buf.split_to(end).freeze();
         if let Some(id) = last_id(&whole) {
-            self.last = Some(id);
+            self.last_event_id = Some(id);
         }
         whole
     }
 
     /// Returns the bytes after the last whole event.
-    pub fn rest(&mut self) -> Bytes {
+    pub fn take_partial(&mut self) -> Bytes {
         self.buf.split().freeze()
     }
 
     /// Discards a partial event, which the resumed stream sends again.
-    pub fn forget_rest(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.buf.clear();
     }
 }
--- a/crates/larkspring/src/direct/entry/job.rs
+++ b/crates/larkspring/src/direct/entry/job.rs
@@ -103,7 +103,7 @@
         }
     };
     let needs_adapter = caller.model.is_some();
-    let refuse_until = |reason: Reason, workspace, after, body, done| {
+    let refuse_with_retry = |reason: Reason, workspace, after, body, done| {
         exec::spawn(discard(body)).detach();
         log_refused(&entry, &caller, workspace, reason, received, None, None);
         entry.stats.request("", reason.name());
@@ -111,7 +111,7 @@
     };
     let refuse = |reason: Reason, body, done| {
         let after = reason.retry_after(needs_adapter);
-        refuse_until(reason, None, after, body, done)
+        refuse_with_retry(reason, None, after, body, done)
     };
     if entry.shutdown.is_closing() {
         return refuse(Reason::Stopping, Some(body), done);
@@ -139,7 +139,7 @@
             Ok(charge) => charge,
             Err(after) => {
                 let name = Some(&*of.name);
-                return refuse_until(
+                return refuse_with_retry(
                     Reason::OverLimit,
                     name,
                     Some(after),
--- a/crates/larkspring/src/direct/entry/known.rs
+++ b/crates/larkspring/src/direct/entry/known.rs
@@ -130,8 +130,8 @@
             None => self.state.rate_millis.is_some() && !state.whole,
         };
         if has_changed {
-            let named = state.rate_millis.map(Rate::from_millis);
-            self.rate_change = Some(named.map_or(RateWord::Silent, RateWord::Named));
+            let rate = state.rate_millis.map(Rate::from_millis);
+            self.rate_change = Some(rate.map_or(RateWord::Silent, RateWord::Named));
         }
         has_changed
     }
@@ -173,8 +173,8 @@
     /// Applies a state's run and adapters; returns whether the engine is another run.
     fn apply_run(&mut self, now: Instant, state: &wire::State) -> bool {
         let known = self.run.as_ref().map(|run| &*run.id);
-        let is_update = self.run_on_connection && !state.whole;
-        let is_new = !state.run.is_empty() && (is_update || known != Some(&state.run));
+        let is_later_run = self.run_on_connection && !state.whole;
+        let is_new = !state.run.is_empty() && (is_later_run || known != Some(&state.run));
         if state.whole {
             self.run_on_connection = false;
             self.resident.clear();
--- a/crates/larkspring/src/direct/entry/limits.rs
+++ b/crates/larkspring/src/direct/entry/limits.rs
@@ -175,22 +175,23 @@
     }
 
     /// Sends the requested units of each group to its bucket owner in one message.
-    fn request_units(&self, now: Instant, polls: bool) {
-        let wants = self.accounts.lock().wants(now, polls);
-        if wants.is_empty() && !polls {
+    fn request_units(&self, now: Instant, is_poll: bool) {
+        let wants = self.accounts.lock().wants(now, is_poll);
+        if wants.is_empty() && !is_poll {
             return;
         }
         let groups = self.groups();
         for group in 0..groups {
             let of_group = |w: &&Want| group_of(w.workspace, groups) == group;
             let wants: Vec<_> = wants.iter().filter(of_group).copied().collect();
-            if wants.is_empty() && !polls {
+            if wants.is_empty() && !is_poll {
                 continue;
             }
             let owner = self.owner(now, group);
-            let told = self.presence(now, group, owner.as_ref().map(|(addr, _)| *addr));
+            let presence =
+                self.presence(now, group, owner.as_ref().map(|(addr, _)| *addr));
             let entries = self.entries() as usize;
-            let ask = Ask { told, entries, wants: &wants };
+            let ask = Ask { told: presence, entries, wants: &wants };
             match owner {
                 // A request for units that can't be sent is later treated as unanswered.
                 Some((_, link)) => drop(link.request_units(&ask)),
@@ -203,11 +204,11 @@
     /// the owner, units from the previous owner stay usable but are not returned to the
     /// new one.
     fn presence(&self, now: Instant, group: u64, owner: Option<SocketAddr>) -> Told {
-        let told = self.owners.lock().entry(group).or_default().ask(now, owner);
-        if told.joined {
+        let presence = self.owners.lock().entry(group).or_default().ask(now, owner);
+        if presence.joined {
             self.accounts.lock().home_changed();
         }
-        told
+        presence
     }
 
     /// Returns the number of entries that share the limits. Without a live agent the
--- a/crates/larkspring/src/direct/entry/link.rs
+++ b/crates/larkspring/src/direct/entry/link.rs
@@ -46,7 +46,7 @@
     /// Permit requests that await a reply, by id.
     pending_permits: Mutex<HashMap<u64, Sender<Verdict>>>,
     next_id: AtomicU64,
-    granted: AtomicU32,
+    granted_holds: AtomicU32,
     /// Number of connections opened so far.
     connections: AtomicU64,
     events: LinkEvents,
@@ -112,7 +112,7 @@
             holds: Mutex::default(),
             pending_permits: Mutex::default(),
             next_id: AtomicU64::new(1),
-            granted: AtomicU32::new(0),
+            granted_holds: AtomicU32::new(0),
             connections: AtomicU64::new(0),
             events,
             since: Instant::now(),
@@ -234,7 +234,7 @@
 
     /// Returns the known state of the engine.
     pub fn view(&self) -> EngineView {
-        let own_holds = self.granted.load(Ordering::Relaxed);
+        let own_holds = self.granted_holds.load(Ordering::Relaxed);
         self.engine_state.lock().view(Instant::now(), own_holds)
     }
 
@@ -294,7 +294,7 @@
         let regained = !std::mem::replace(&mut engine_state.live, true);
         match message.kind {
             Some(FromAgentKind::State(state)) => {
-                let own_holds = self.granted.load(Ordering::Relaxed);
+                let own_holds = self.granted_holds.load(Ordering::Relaxed);
                 let changed = engine_state.apply(now, state, own_holds);
                 if regained || changed.engagement {
                     self.events.availability_changed.notify(usize::MAX);
--- a/crates/larkspring/src/direct/entry/link/hold.rs
+++ b/crates/larkspring/src/direct/entry/link/hold.rs
@@ -67,7 +67,7 @@
     ) -> Hold {
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         let (waiter, end) = channel::bounded(1);
-        let asked = Kind::Hold(wire::Hold {
+        let message = Kind::Hold(wire::Hold {
             id,
             adapter: target.adapter.to_string(),
             version: target.version.to_string(),
@@ -82,7 +82,7 @@
         let held =
             HoldRecord { target, priority: request.priority, waiter: Some(waiter) };
         self.holds.lock().insert(id, held);
-        if !self.send_message(asked) {
+        if !self.send_message(message) {
             // Drops the waiter, so that the hold ends as lost.
             self.holds.lock().remove(&id);
         }
@@ -102,7 +102,7 @@
         if !granted {
             holds.remove(&id);
         } else if waiter.is_some() {
-            self.granted.fetch_add(1, Ordering::Relaxed);
+            self.granted_holds.fetch_add(1, Ordering::Relaxed);
         }
         if let Some(waiter) = waiter {
             // The request may have ended meanwhile; dropping its hold then releases it.
@@ -151,7 +151,7 @@
         let removed = self.link.holds.lock().remove(&self.id);
         let Some(held) = removed else { return };
         if held.waiter.is_none() {
-            self.link.granted.fetch_sub(1, Ordering::Relaxed);
+            self.link.granted_holds.fetch_sub(1, Ordering::Relaxed);
         }
         self.link.send_message(Kind::Release(wire::Release { id: self.id }));
     }
--- a/crates/larkspring/src/direct/entry/log.rs
+++ b/crates/larkspring/src/direct/entry/log.rs
@@ -34,13 +34,13 @@
             routing_proof_age_ms =
                 entry.beliefs.proof_age(Kind::Routing).map(|age| age.as_millis() as u64),
             store_age_ms = entry.beliefs.store_age().map(|age| age.as_millis() as u64),
-            endpoint = inputs.map(|w| &*w.endpoint),
-            holding = inputs.map(|w| w.holding),
-            running = inputs.map(|w| w.running),
-            loads_ahead = inputs.map(|w| w.loads_ahead),
-            chosen_of = inputs.map(|w| w.of),
-            avoided = inputs.map(|w| w.avoided),
-            quality_ms = inputs.map(|w| w.quality.as_millis() as u64),
+            endpoint = inputs.map(|i| &*i.endpoint),
+            holding = inputs.map(|i| i.holding),
+            running = inputs.map(|i| i.running),
+            loads_ahead = inputs.map(|i| i.loads_ahead),
+            chosen_of = inputs.map(|i| i.candidates),
+            avoided = inputs.map(|i| i.avoided),
+            quality_ms = inputs.map(|i| i.quality.as_millis() as u64),
         );
     }
 }
@@ -64,17 +64,17 @@
             attempts = job.history.attempts + 1,
             routing = job.routing.version,
             store_age_ms = age.map(|age| age.as_millis() as u64),
-            same_hall = inputs.map(|w| w.same_hall),
+            same_hall = inputs.map(|i| i.same_hall),
             adapter = model.and_then(|m| m.adapter.as_deref()),
-            holding = inputs.map(|w| w.holding),
-            running = inputs.map(|w| w.running),
-            loads_ahead = inputs.map(|w| w.loads_ahead),
+            holding = inputs.map(|i| i.holding),
+            running = inputs.map(|i| i.running),
+            loads_ahead = inputs.map(|i| i.loads_ahead),
             prompt_tokens = model.map(|m| m.prompt_tokens),
-            unread_tokens = inputs.map(|w| w.unread_tokens),
-            reading_tokens = inputs.map(|w| w.reading_tokens),
-            free_places = inputs.map(|w| w.free_places),
-            holders = inputs.map(|w| w.holders),
-            chosen_of = inputs.map(|w| w.of),
+            unread_tokens = inputs.map(|i| i.unread_tokens),
+            reading_tokens = inputs.map(|i| i.backlog_tokens),
+            free_places = inputs.map(|i| i.free_places),
+            holders = inputs.map(|i| i.holders),
+            chosen_of = inputs.map(|i| i.candidates),
         );
     }
 }
--- a/crates/larkspring/src/direct/entry/peer.rs
+++ b/crates/larkspring/src/direct/entry/peer.rs
@@ -200,8 +200,8 @@
 
     /// Takes the agent's latest change of the endpoint's advertised rate, if any.
     pub fn take_rate_change(&self) -> Option<RateWord> {
-        let (run, word) = self.link.as_ref()?.take_rate_change()?;
-        (run == self.endpoint.load().id).then_some(word)
+        let (run, rate) = self.link.as_ref()?.take_rate_change()?;
+        (run == self.endpoint.load().id).then_some(rate)
     }
 
     /// Returns whether the agent reports that the endpoint is draining.
@@ -223,8 +223,8 @@
             return None;
         }
         let run = self.link.as_ref().and_then(|link| link.reported_run());
-        let again = run.filter(|r| r.in_place && r.id == self.endpoint.load().id);
-        if let Some(run) = again {
+        let restarted = run.filter(|r| r.in_place && r.id == self.endpoint.load().id);
+        if let Some(run) = restarted {
             availability.renewed(run.since);
         }
         Some(*availability)
@@ -241,8 +241,8 @@
     /// reported by the agent after `since`. The run may have the same id.
     pub fn has_other_run(&self, since: Instant) -> bool {
         let answered = self.gone_until.lock().is_some_and(|until| until > Instant::now());
-        let named = self.link.as_ref().and_then(|link| link.reported_run());
-        answered || named.is_some_and(|run| run.in_place && run.since > since)
+        let reported = self.link.as_ref().and_then(|link| link.reported_run());
+        answered || reported.is_some_and(|run| run.in_place && run.since > since)
     }
 
     /// Records that another run answered at the address.
@@ -400,7 +400,8 @@
 }
 
 fn idle_limit(conn: &Conn, run_once: bool) -> Duration {
-    let availability = conn.keep_alive.map(|kept| kept.mul_f64(IDLE_FRACTION));
+    let availability =
+        conn.keep_alive.map(|keep_alive| keep_alive.mul_f64(IDLE_FRACTION));
     let limit = availability.unwrap_or(DEFAULT_IDLE_LIMIT);
     if run_once {
         limit.min(RUN_ONCE_IDLE_LIMIT)
--- a/crates/larkspring/src/direct/entry/place.rs
+++ b/crates/larkspring/src/direct/entry/place.rs
@@ -165,13 +165,13 @@
             view.quality += Duration::from_secs_f64(batch_cost(&view) / 1000.0);
             view
         };
-        let seen = self.candidates().into_iter().map(|p| (view(&p), p));
+        let viewed = self.candidates().into_iter().map(|p| (view(&p), p));
         // An engine that is still loading its base model would refuse the request.
         // Engines whose agents have not reported yet may be loading theirs.
         let is_first_message_pending = |p: &Peer| {
             p.link.as_ref().is_some_and(|link| link.is_first_message_pending())
         };
-        let (views, peers): (Vec<_>, Vec<_>) = seen
+        let (views, peers): (Vec<_>, Vec<_>) = viewed
             .filter(|(view, p)| !view.filling && !is_first_message_pending(p))
             .unzip();
         let chosen = for_any(&views, Duration::ZERO);
@@ -235,12 +235,12 @@
             peer.record_prompt(hash, model);
             return Ok(selection(open, None));
         };
-        let asked = Instant::now();
+        let requested_at = Instant::now();
         let limit = self.time_left().saturating_sub(MIN_TIME_LEFT);
         let held_before = link.holding(hash);
         let resident = held_before == Some(Holding::Resident);
         let timeout = if resident { limit.min(GRANT_TIMEOUT) } else { limit };
-        let need = HoldRequest {
+        let request = HoldRequest {
             priority: self.priority(),
             wait: limit,
             request: &self.caller.id,
@@ -248,14 +248,14 @@
             utility: self.utility(model),
             load_time_limit,
         };
-        let mut hold = link.request_hold(target.clone(), need);
+        let mut hold = link.request_hold(target.clone(), request);
         let fleet = self.entry.fleet.clone();
         let unavailable = async {
             fleet.wait_unavailable(&peer).await;
             HoldEnd::Lost
         };
         let end = within(timeout, future::or(unavailable, hold.wait_granted())).await;
-        let took = asked.elapsed();
+        let took = requested_at.elapsed();
         self.waited += took;
         // The engine may have restarted meanwhile; the grant then applies to its new run.
         let current_peer = fleet.current_run(&peer);
@@ -310,7 +310,7 @@
     /// Returns the load time within which the answer can still begin within the
     /// objective.
     fn load_time_limit(&self, inputs: &SelectionInputs) -> Duration {
-        let unread = inputs.reading_tokens + inputs.unread_tokens;
+        let unread = inputs.backlog_tokens + inputs.unread_tokens;
         self.time_to_objective().saturating_sub(reading_time(unread))
     }
 
@@ -441,7 +441,7 @@
         let Some(link) = link.filter(|_| self.entry.start_preload(target.hash())) else {
             return;
         };
-        let need = HoldRequest {
+        let request = HoldRequest {
             priority: PRELOAD_PRIORITY,
             wait: PRELOAD_TIMEOUT,
             request: "",
@@ -449,7 +449,7 @@
             utility: worth::OF_COPY,
             load_time_limit: PRELOAD_TIMEOUT,
         };
-        let mut hold = link.request_hold(target.clone(), need);
+        let mut hold = link.request_hold(target.clone(), request);
         let stats = self.entry.stats.clone();
         crate::exec::spawn(async move {
             let end = within(PRELOAD_TIMEOUT, hold.wait_granted()).await;
--- a/crates/larkspring/src/direct/entry/relay.rs
+++ b/crates/larkspring/src/direct/entry/relay.rs
@@ -35,13 +35,13 @@
     fingerprint: ContentHash,
     /// The run whose answer is relayed.
     endpoint: Incarnation,
-    from: AnswerSource,
+    source: AnswerSource,
     /// Splits the stream into whole events, if the stream may be resumed.
     events: Option<EventSplitter>,
     deadline: Timer,
     sent: u64,
     is_success: bool,
-    pauses: LongestPause,
+    pause: LongestPause,
 }
 
 /// The longest pause between two chunks for the caller, recorded when the answer is over.
@@ -65,18 +65,19 @@
 impl Relay {
     /// Creates the relay of an answer; a resumable stream is relayed in whole events.
     pub fn new(job: Job, open: OpenAnswer, resumable: bool, is_success: bool) -> Self {
-        let events = resumable.then(|| EventSplitter::after(job.resume_after.clone()));
+        let events =
+            resumable.then(|| EventSplitter::resuming_after(job.resume_after.clone()));
         Self {
             crashes: job.entry.crashes.clone(),
             id: job.caller.id.clone(),
             fingerprint: job.fingerprint,
             endpoint: open.selection.open_request.peer.endpoint().id.clone(),
-            from: AnswerSource::Endpoint(Box::new(open)),
+            source: AnswerSource::Endpoint(Box::new(open)),
             events,
             deadline: Timer::at(job.deadline),
             sent: 0,
             is_success,
-            pauses: LongestPause::new(&job),
+            pause: LongestPause::new(&job),
             // Frees the request's body, which only a resumed stream needs again.
             job: resumable.then(|| Box::new(job)),
         }
@@ -84,12 +85,12 @@
 
     /// Returns whether the relay has ended.
     pub fn is_over(&self) -> bool {
-        matches!(self.from, AnswerSource::Ended)
+        matches!(self.source, AnswerSource::Ended)
     }
 
     /// Returns the length of the remaining bytes, if known.
     pub fn size_hint(&self) -> SizeHint {
-        match (&self.from, &self.events) {
+        match (&self.source, &self.events) {
             (AnswerSource::Endpoint(open), None) => open.body.size_hint(),
             (AnswerSource::Ended, _) => SizeHint::with_exact(0),
             _ => SizeHint::default(),
@@ -102,16 +103,16 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Bytes, RelayError>>> {
         if Pin::new(&mut self.deadline).poll(cx).is_ready() {
-            self.from = AnswerSource::Ended;
+            self.source = AnswerSource::Ended;
             self.log("out of time");
             return Poll::Ready(Some(Err(RelayError::TimedOut)));
         }
         loop {
-            let next = match &mut self.from {
+            let next = match &mut self.source {
                 AnswerSource::Ended => return Poll::Ready(None),
                 AnswerSource::Resuming(resume) => {
                     let resumed = ready!(resume.as_mut().poll(cx));
-                    self.go_on(resumed)
+                    self.resume_with(resumed)
                 }
                 AnswerSource::Endpoint(_) => ready!(self.poll_endpoint(cx)),
             };
@@ -119,13 +120,13 @@
                 Step::Data(data) if data.is_empty() => {}
                 Step::Data(data) => {
                     self.sent += data.len() as u64;
-                    self.pauses.note();
+                    self.pause.record();
                     return Poll::Ready(Some(Ok(data)));
                 }
                 Step::Continue => {}
                 Step::End => return Poll::Ready(None),
                 Step::Interrupted(cause) => {
-                    self.from = AnswerSource::Ended;
+                    self.source = AnswerSource::Ended;
                     self.log(&cause);
                     return Poll::Ready(Some(Err(RelayError::Interrupted(cause))));
                 }
@@ -134,7 +135,7 @@
     }
 
     fn poll_endpoint(&mut self, cx: &mut Context<'_>) -> Poll<Step> {
-        let AnswerSource::Endpoint(open) = &mut self.from else {
+        let AnswerSource::Endpoint(open) = &mut self.source else {
             return Poll::Ready(Step::Continue);
         };
         open.conn.drive(cx);
@@ -147,15 +148,15 @@
                 }),
                 Err(_) => Step::Continue,
             },
-            Some(Err(e)) => self.broken(&cause_of(&e)),
-            None => self.ended(cx),
+            Some(Err(e)) => self.interrupt(&cause_of(&e)),
+            None => self.finish(cx),
         })
     }
 
     /// Handles the regular end of the endpoint's answer.
-    fn ended(&mut self, cx: &mut Context<'_>) -> Step {
+    fn finish(&mut self, cx: &mut Context<'_>) -> Step {
         let AnswerSource::Endpoint(open) =
-            std::mem::replace(&mut self.from, AnswerSource::Ended)
+            std::mem::replace(&mut self.source, AnswerSource::Ended)
         else {
             return Step::End;
         };
@@ -164,25 +165,25 @@
         if self.is_success {
             self.crashes.record_answer(self.fingerprint);
         }
-        match self.events.as_mut().map(EventSplitter::rest) {
-            Some(rest) if !rest.is_empty() => Step::Data(rest),
+        match self.events.as_mut().map(EventSplitter::take_partial) {
+            Some(partial) if !partial.is_empty() => Step::Data(partial),
             _ => Step::End,
         }
     }
 
     /// Handles an interrupted answer: resumes the stream at another endpoint if allowed.
-    fn broken(&mut self, cause: &str) -> Step {
-        let from = std::mem::replace(&mut self.from, AnswerSource::Ended);
-        if let AnswerSource::Endpoint(open) = &from {
+    fn interrupt(&mut self, cause: &str) -> Step {
+        let source = std::mem::replace(&mut self.source, AnswerSource::Ended);
+        if let AnswerSource::Endpoint(open) = &source {
             let selection = &open.selection;
             self.crashes.connection_broke(
                 &selection.open_request.peer,
                 self.fingerprint,
                 &self.id,
-                selection.began,
+                selection.selected_at,
             );
         }
-        let (AnswerSource::Endpoint(open), Some(events)) = (from, self.events.as_mut())
+        let (AnswerSource::Endpoint(open), Some(events)) = (source, self.events.as_mut())
         else {
             return Step::Interrupted(cause.into());
         };
@@ -192,8 +193,8 @@
         let peer = open.selection.open_request.peer.clone();
         // Closes the connection before the stream is resumed at another endpoint.
         drop(open);
-        events.forget_rest();
-        job.resume_after = events.last.clone();
+        events.discard_partial();
+        job.resume_after = events.last_event_id.clone();
         peer.quality(|q| q.bad(Instant::now()));
         if job.record_attempt(AttemptEnd::Unclear, &peer) != Next::Elsewhere {
             return Step::Interrupted(cause.into());
@@ -209,17 +210,17 @@
                 last,
             );
         }
-        self.from = AnswerSource::Resuming(Box::pin(resume(job)));
+        self.source = AnswerSource::Resuming(Box::pin(resume(job)));
         Step::Continue
     }
 
-    fn go_on(&mut self, resumed: Option<(Box<Job>, OpenAnswer)>) -> Step {
+    fn resume_with(&mut self, resumed: Option<(Box<Job>, OpenAnswer)>) -> Step {
         let Some((job, open)) = resumed else {
             return Step::Interrupted("no other endpoint resumed the stream".into());
         };
         self.job = Some(job);
         self.endpoint = open.selection.open_request.peer.endpoint().id.clone();
-        self.from = AnswerSource::Endpoint(Box::new(open));
+        self.source = AnswerSource::Endpoint(Box::new(open));
         Step::Continue
     }
 
@@ -244,7 +245,7 @@
         Self { entry, route, last: Instant::now(), longest: Duration::ZERO }
     }
 
-    fn note(&mut self) {
+    fn record(&mut self) {
         let now = Instant::now();
         self.longest = self.longest.max(now.saturating_duration_since(self.last));
         self.last = now;
--- a/crates/larkspring/src/direct/entry/serve.rs
+++ b/crates/larkspring/src/direct/entry/serve.rs
@@ -69,7 +69,7 @@
 /// The phase of a connection, set by its socket and its requests.
 #[derive(Debug)]
 pub(super) struct Phase {
-    at: AtomicU8,
+    stage: AtomicU8,
     since: Mutex<Instant>,
 }
 
@@ -117,7 +117,7 @@
                 tracing::info!(event = "connection broke", cause = %e);
             }
         }
-        Ok(ConnectionEnd::SlowHead) => slow_head(conn).await,
+        Ok(ConnectionEnd::SlowHead) => answer_slow_head(conn).await,
         Ok(ConnectionEnd::Idle) => {}
         Ok(ConnectionEnd::Closing) => {
             Pin::new(&mut conn).graceful_shutdown();
@@ -128,7 +128,7 @@
 }
 
 /// Answers 408 to a caller whose head did not arrive in time.
-async fn slow_head<S>(conn: Connection<FuturesIo<TimedSocket>, S>)
+async fn answer_slow_head<S>(conn: Connection<FuturesIo<TimedSocket>, S>)
 where
     S: HttpService<Incoming, ResBody = AnswerBody>,
     S::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
@@ -149,8 +149,8 @@
     let bounded = async {
         loop {
             let bounds = bounds(entry);
-            let (at, since) = phase.get();
-            let (limit, bound) = match at {
+            let (stage, since) = phase.get();
+            let (limit, bound) = match stage {
                 IDLE => (bounds.idle_timeout, ConnectionEnd::Idle),
                 HEAD => (bounds.head_timeout, ConnectionEnd::SlowHead),
                 _ => {
@@ -176,16 +176,16 @@
 
 impl Phase {
     fn new() -> Self {
-        Self { at: AtomicU8::new(IDLE), since: Mutex::new(Instant::now()) }
+        Self { stage: AtomicU8::new(IDLE), since: Mutex::new(Instant::now()) }
     }
 
-    fn set(&self, at: u8) {
+    fn set(&self, stage: u8) {
         *self.since.lock() = Instant::now();
-        self.at.store(at, Ordering::Release);
+        self.stage.store(stage, Ordering::Release);
     }
 
     fn get(&self) -> (u8, Instant) {
-        (self.at.load(Ordering::Acquire), *self.since.lock())
+        (self.stage.load(Ordering::Acquire), *self.since.lock())
     }
 }
 
@@ -230,7 +230,7 @@
     ) -> Poll<io::Result<usize>> {
         let read = Pin::new(&mut self.sock).poll_read(cx, buf);
         if let Poll::Ready(Ok(1..)) = read {
-            if self.phase.at.load(Ordering::Acquire) == IDLE {
+            if self.phase.stage.load(Ordering::Acquire) == IDLE {
                 self.phase.set(HEAD);
             }
         }
--- a/crates/larkspring/src/direct/entry/view.rs
+++ b/crates/larkspring/src/direct/entry/view.rs
@@ -96,7 +96,7 @@
     /// Tokens of the prompt that were probably not in the endpoint's cache.
     pub unread_tokens: u32,
     /// The endpoint's known prefill backlog from other requests, in tokens.
-    pub reading_tokens: u32,
+    pub backlog_tokens: u32,
     /// Free adapter slots, as far as known.
     pub free_places: u32,
     /// Number of endpoints that held the adapter, as far as known.
@@ -104,7 +104,7 @@
     /// The cost of the endpoint's recent failures in the selection.
     pub quality: Duration,
     /// Number of candidates.
-    pub of: usize,
+    pub candidates: usize,
     /// Number of candidates to be avoided, such as those that could not be connected to.
     pub avoided: usize,
 }
@@ -120,11 +120,11 @@
             running: view.running,
             loads_ahead: view.loads_ahead,
             unread_tokens: view.prompt_tokens,
-            reading_tokens: view.reading,
+            backlog_tokens: view.reading,
             free_places: view.free_places,
             holders: views.iter().filter(|v| v.holding == Holding::Resident).count(),
             quality: view.quality,
-            of: views.len(),
+            candidates: views.len(),
             avoided: views.iter().filter(|v| v.avoided).count(),
         }
     }
