--- a/crates/larkspring/src/direct/entry/directory.rs
+++ b/crates/larkspring/src/direct/entry/directory.rs
@@ -33,7 +33,7 @@
     store_paces: [StorePace; Kind::ALL.len()],
     agent_paces: [AgentPace; Kind::ALL.len()],
     /// Maximum age of a routing by which requests are served; `None` for any age.
-    trusted: Option<Duration>,
+    max_routing_age: Option<Duration>,
     /// Latest time at which the store is proved to have held no newer routing.
     proved_at: Mutex<Option<Moment>>,
     /// When the store last answered the source of this entry's state, by kind.
@@ -80,7 +80,7 @@
                 StorePace::of_entry(cfg.bound(kind), ProcessCfg::changes(kind))
             }),
             agent_paces: Kind::ALL.map(|kind| AgentPace::of(cfg.bound(kind))),
-            trusted: cfg.trusted(),
+            max_routing_age: cfg.trusted(),
             proved_at: Mutex::default(),
             store_answered_at: Mutex::default(),
             skipped: Mutex::default(),
@@ -129,7 +129,7 @@
 
     async fn read_store(&self, ask: Ask) -> Result<Read, PlatformError> {
         let pace = &self.store_paces[ask.kind as usize];
-        if ask.kind != Kind::Routing || self.trusted.is_none() {
+        if ask.kind != Kind::Routing || self.max_routing_age.is_none() {
             return self.store.read(ask, pace).await;
         }
         let wait = ask.after.map_or(Duration::ZERO, |after| after.wait);
@@ -142,14 +142,14 @@
     /// Returns whether the routing's latest freshness proof is so old that the routing
     /// soon exceeds its maximum age.
     fn is_urgent(&self, kind: Kind) -> bool {
-        let Some(trusted) = self.trusted.filter(|_| kind == Kind::Routing) else {
+        let Some(max_age) = self.max_routing_age.filter(|_| kind == Kind::Routing) else {
             return false;
         };
-        let urgent = trusted.mul_f64(URGENT_FRACTION);
+        let urgent = max_age.mul_f64(URGENT_FRACTION);
         self.proved_at.lock().is_none_or(|at| at.elapsed() > urgent)
     }
 
-    /// Makes a read return without waiting for a change if it is urgent.
+    /// Limits a read's wait for a change to [`URGENT_WAIT`] if the read is urgent.
     fn without_wait_if_urgent(&self, ask: Ask) -> Ask {
         match self.is_urgent(ask.kind) {
             true => without_wait(ask),
@@ -192,19 +192,21 @@
         let now = Instant::now();
         let mut skipped = self.skipped.lock();
         skipped.retain(|(_, until)| *until > now);
-        let is_out = |id: &Incarnation| skipped.iter().any(|(out, _)| out == id);
+        let is_skipped =
+            |id: &Incarnation| skipped.iter().any(|(id_skipped, _)| id_skipped == id);
         let peers = peers.into_iter().map(|p| (p.endpoint().id.clone(), p)).collect();
         let ranked = ranked(xxh3_64(hall.as_bytes()), peers, |(id, _)| id);
         let first = ranked.into_iter().take(count);
-        first.filter(|(id, _)| !is_out(id)).map(|(_, p)| p).collect()
+        first.filter(|(id, _)| !is_skipped(id)).map(|(_, p)| p).collect()
     }
 
     async fn read_from(&self, peer: &Peer, ask: Ask) -> Result<State, String> {
         let link = peer.link.as_ref().ok_or("no agent runs beside the endpoint")?;
         let pace = &self.agent_paces[ask.kind as usize];
         let wait = pace.wait_at(self.age(ask.kind).unwrap_or_default());
-        let keys = self.trusted.filter(|_| ask.kind == Kind::Routing);
-        let wait = keys.map_or(wait, |age| wait.min(age.mul_f64(ROUTING_WAIT_FRACTION)));
+        let max_age = self.max_routing_age.filter(|_| ask.kind == Kind::Routing);
+        let wait =
+            max_age.map_or(wait, |age| wait.min(age.mul_f64(ROUTING_WAIT_FRACTION)));
         let known = ask.after.map_or(StorePoint::default(), |after| after.at);
         let wait = ask.after.map_or(wait, |after| after.wait.min(wait));
         let req = wire::ReadRequest {
@@ -242,12 +244,12 @@
             ));
         }
         // The proof's age is as of the reply, which the agent made `held_ms` after it got
-        // the request. Counted from the sending of the request, the proof is dated no later
-        // than its true time, however long request and reply were on their way.
+        // the request. Counted from the sending of the request, the proof is dated no
+        // later than its true time, however long request and reply were on their way.
         let made = sent + Duration::from_millis(reply.held_ms);
         Ok(State {
-            // An agent that is behind has no changes to report, and its older point must not
-            // replace the known one.
+            // An agent that is behind has no changes to report, and its older point must
+            // not replace the known one.
             at: if at < known { known } else { at },
             whole: reply.whole,
             pages: reply.pages,
@@ -260,8 +262,8 @@
 
     /// Returns whether a freshness proof is so old that another source is asked.
     fn is_proof_too_old(&self, kind: Kind, age: Duration) -> bool {
-        let trusted = self.trusted.filter(|_| kind == Kind::Routing);
-        trusted.is_some_and(|trusted| age > trusted.mul_f64(URGENT_FRACTION))
+        let max_age = self.max_routing_age.filter(|_| kind == Kind::Routing);
+        max_age.is_some_and(|max_age| age > max_age.mul_f64(URGENT_FRACTION))
     }
 
     fn skip(&self, peer: &Peer, kind: Kind, cause: &str) {
@@ -284,7 +286,7 @@
     }
 }
 
-/// Makes a read return without waiting for a change.
+/// Limits a read's wait for a change to [`URGENT_WAIT`].
 fn without_wait(ask: Ask) -> Ask {
     let after = ask.after.map(|a| After { wait: a.wait.min(URGENT_WAIT), ..a });
     Ask { after, ..ask }
--- a/crates/larkspring/src/direct/entry/fleet.rs
+++ b/crates/larkspring/src/direct/entry/fleet.rs
@@ -33,8 +33,8 @@
     /// Notified when an agent reports another run of its engine, that the engine drains,
     /// or another rate limit.
     run_changed: Arc<Event>,
-    /// Notified when another run answers at an endpoint's address. Separate from `changes`,
-    /// which wakes every request that waits for an endpoint.
+    /// Notified when another run answers at an endpoint's address. Separate from
+    /// `changes`, which wakes every request that waits for an endpoint.
     address_changed: Event,
     /// Receivers of the agents' reports.
     sinks: MessageSinks,
--- a/crates/larkspring/src/direct/entry/known.rs
+++ b/crates/larkspring/src/direct/entry/known.rs
@@ -62,7 +62,7 @@
 /// The changes by a new state report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct StateChanges {
-    /// Whether the engine's state of service changed.
+    /// Whether the engagement changed.
     pub engagement: bool,
     /// Whether the engine is another run or has begun to drain.
     pub run: bool,
@@ -88,8 +88,8 @@
         StateChanges { engagement, run, rate }
     }
 
-    /// Returns the known state of the engine; `own_holds` is the number of granted holds of
-    /// this entry.
+    /// Returns the known state of the engine; `own_holds` is the number of granted holds
+    /// of this entry.
     pub fn view(&self, now: Instant, own_holds: u32) -> EngineView {
         let held = self.state.held.saturating_sub(self.own_holds_at_report) + own_holds;
         EngineView {
--- a/crates/larkspring/src/direct/entry/link.rs
+++ b/crates/larkspring/src/direct/entry/link.rs
@@ -56,7 +56,7 @@
 /// Receivers of an agent's messages.
 #[derive(Debug, Clone)]
 pub(super) struct LinkEvents {
-    /// Notified when the agent is live again, or its engine's state of service changes.
+    /// Notified when the agent is live again, or its engine's engagement changes.
     pub availability_changed: Arc<Event>,
     /// Notified when the agent reports another run of the engine, that the engine drains,
     /// or another rate limit.
--- a/crates/larkspring/src/direct/entry/peer.rs
+++ b/crates/larkspring/src/direct/entry/peer.rs
@@ -290,8 +290,8 @@
         f(&mut self.quality.lock())
     }
 
-    /// Takes an idle connection that can carry a request now. With `run_once`, for a request
-    /// that must not run twice, stricter limits apply.
+    /// Takes an idle connection that can carry a request now. With `run_once`, for a
+    /// request that must not run twice, stricter limits apply.
     pub fn take_idle(&self, cx: &mut Context<'_>, run_once: bool) -> Option<Conn> {
         let now = Instant::now();
         if run_once && self.is_corrupted(now) {
--- a/crates/larkspring/src/direct/entry/serve.rs
+++ b/crates/larkspring/src/direct/entry/serve.rs
@@ -89,10 +89,10 @@
     let _ = sock.set_nodelay(true);
     let phase = Arc::new(Phase::new());
     let io = FuturesIo::new(TimedSocket { sock, phase: phase.clone() });
-    let (served, at) = (entry.clone(), phase.clone());
+    let (served, request_phase) = (entry.clone(), phase.clone());
     let service = service_fn(move |req| {
-        at.set(SERVING);
-        let done = ExchangeGuard(at.clone());
+        request_phase.set(SERVING);
+        let done = ExchangeGuard(request_phase.clone());
         let entry = served.clone();
         async move { Ok::<_, Infallible>(job::serve(entry, req, done).await) }
     });
