--- a/crates/larkspring/src/direct/entry/admit.rs
+++ b/crates/larkspring/src/direct/entry/admit.rs
@@ -27,7 +27,7 @@
 
 impl Inner {
     /// Returns the workspace of a caller's key; `None` if the route needs no key and the
-    /// caller sent no known one.
+    /// caller sent no known key.
     ///
     /// The known keys must be fresher than the time within which a revoked key has to be
     /// refused, whatever their source. The age is checked after the request was received,
--- a/crates/larkspring/src/direct/entry/attempt.rs
+++ b/crates/larkspring/src/direct/entry/attempt.rs
@@ -1,4 +1,4 @@
-//! One send of a request, and the classification of its answer by the head.
+//! Sending of a request to an endpoint, and classification of the answer by its head.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
--- a/crates/larkspring/src/direct/entry/ends.rs
+++ b/crates/larkspring/src/direct/entry/ends.rs
@@ -125,7 +125,7 @@
         self.findings.show();
     }
 
-    /// Reports recent crashes to agents that take the place of others, for ever.
+    /// Reports recent crashes to agents that take the place of others, until dropped.
     pub async fn run(self: Arc<Self>) {
         loop {
             Timer::after(REPORT_INTERVAL).await;
--- a/crates/larkspring/src/direct/entry/fleet.rs
+++ b/crates/larkspring/src/direct/entry/fleet.rs
@@ -88,7 +88,7 @@
         })
     }
 
-    /// Applies changes of the platform's list and of the agents' reports, for ever.
+    /// Applies changes of the platform's list and of the agents' reports, until dropped.
     pub async fn follow(self: Arc<Self>) {
         loop {
             let (changed, run_changed) =
@@ -105,7 +105,7 @@
         next.unwrap_or_else(|| peer.clone())
     }
 
-    /// Periodically closes connections that were idle for too long, for ever.
+    /// Periodically closes connections that were idle for too long, until dropped.
     pub async fn sweep(self: Arc<Self>) {
         loop {
             Timer::after(SWEEP_INTERVAL).await;
@@ -119,7 +119,7 @@
     pub fn available(&self, service: &str) -> Vec<Arc<Peer>> {
         let peers = self.peers.load();
         let all = peers.by_service.get(service).map_or(&[][..], |all| all);
-        all.iter().filter(|p| p.takes_request()).cloned().collect()
+        all.iter().filter(|p| p.is_available()).cloned().collect()
     }
 
     /// Returns the time until the first endpoint of a service may be sent a request
--- a/crates/larkspring/src/direct/entry/job.rs
+++ b/crates/larkspring/src/direct/entry/job.rs
@@ -54,7 +54,7 @@
     pub in_flight: Arc<AtomicBool>,
     /// The request fingerprint, which recognises a retry under another id.
     pub fingerprint: ContentHash,
-    /// Whether the request is the retry of one refused a moment ago.
+    /// Whether the request is the retry of a recently refused request.
     pub is_retry: bool,
     /// Id of the last event of a stream that the caller has received.
     pub resume_after: Option<String>,
@@ -210,7 +210,7 @@
             None if may_run => (Reason::TimedOutUnclear, None),
             None => (Reason::TimedOutNotRun, None),
         };
-        // The refusal of a later attempt does not prove that an earlier one has not run.
+        // The refusal of a later attempt does not prove that no earlier attempt has run.
         let (reason, after) = match may_run && reason.says_not_run() {
             true => (Reason::Unclear, None),
             false => (reason, after),
@@ -376,7 +376,7 @@
     }
 }
 
-/// Returns the routing; just after the entry's start it waits briefly for the first one.
+/// Returns the routing; just after the entry's start waits briefly for the first routing.
 async fn routing(entry: &Inner) -> Option<Arc<Routing>> {
     let changed = entry.beliefs.changed();
     if let Some(routing) = entry.beliefs.routing() {
--- a/crates/larkspring/src/direct/entry/known.rs
+++ b/crates/larkspring/src/direct/entry/known.rs
@@ -42,7 +42,7 @@
     pub engagement: Engagement,
     /// Requests of all entries in the engine.
     pub running: u32,
-    pub free_places: u32,
+    pub free_slots: u32,
     pub loads_ahead: u32,
     /// Prefill backlog of all entries' requests, in tokens.
     pub unread_tokens: u32,
@@ -96,7 +96,7 @@
             live: self.live,
             engagement: self.state.engagement(),
             running: held.max(own_holds),
-            free_places: self.state.free_places,
+            free_slots: self.state.free_places,
             loads_ahead: self.state.loads_ahead + self.loading.len() as u32,
             unread_tokens: self.unread.map_or(0, |u| u.at(now)),
         }
--- a/crates/larkspring/src/direct/entry/limits.rs
+++ b/crates/larkspring/src/direct/entry/limits.rs
@@ -116,7 +116,7 @@
         self.accounts.lock().reserved(Instant::now())
     }
 
-    /// Requests units from bucket owners and applies their grants, for ever.
+    /// Requests units from bucket owners and applies their grants, until dropped.
     pub async fn run(self: Arc<Self>) {
         let mut poll_at = Instant::now();
         loop {
--- a/crates/larkspring/src/direct/entry/link.rs
+++ b/crates/larkspring/src/direct/entry/link.rs
@@ -50,7 +50,7 @@
     /// Number of connections opened so far.
     connections: AtomicU64,
     events: LinkEvents,
-    since: Instant,
+    created: Instant,
 }
 
 /// Receivers of an agent's messages.
@@ -115,7 +115,7 @@
             granted_holds: AtomicU32::new(0),
             connections: AtomicU64::new(0),
             events,
-            since: Instant::now(),
+            created: Instant::now(),
         })
     }
 
@@ -248,7 +248,7 @@
     /// platform's list does not show what the engine holds.
     pub fn is_first_message_pending(&self) -> bool {
         self.engine_state.lock().last_message.is_none()
-            && self.since.elapsed() < FIRST_MESSAGE_TIMEOUT
+            && self.created.elapsed() < FIRST_MESSAGE_TIMEOUT
     }
 
     /// Returns the run of the engine that the agent last reported.
--- a/crates/larkspring/src/direct/entry/link/hold.rs
+++ b/crates/larkspring/src/direct/entry/link/hold.rs
@@ -28,7 +28,7 @@
     /// How long the request waits for the grant.
     pub wait: Duration,
     /// Id of the request; empty for preloading.
-    pub request: &'a str,
+    pub request_id: &'a str,
     /// Prompt tokens of the request that need a prefill.
     pub unread_tokens: u32,
     /// Utility of an answer in time, by [`worth`](larkspring_core::fleet::worth).
@@ -74,7 +74,7 @@
             priority: request.priority,
             wait_ms: request.wait.as_millis() as u64,
             in_use: false,
-            request: request.request.into(),
+            request: request.request_id.into(),
             unread_tokens: request.unread_tokens,
             worth: request.utility,
             in_time_ms: request.load_time_limit.as_millis() as u64,
--- a/crates/larkspring/src/direct/entry/log.rs
+++ b/crates/larkspring/src/direct/entry/log.rs
@@ -72,7 +72,7 @@
             prompt_tokens = model.map(|m| m.prompt_tokens),
             unread_tokens = inputs.map(|i| i.unread_tokens),
             reading_tokens = inputs.map(|i| i.backlog_tokens),
-            free_places = inputs.map(|i| i.free_places),
+            free_places = inputs.map(|i| i.free_slots),
             holders = inputs.map(|i| i.holders),
             chosen_of = inputs.map(|i| i.candidates),
         );
--- a/crates/larkspring/src/direct/entry/mod.rs
+++ b/crates/larkspring/src/direct/entry/mod.rs
@@ -5,7 +5,7 @@
 //! 2. [`job`]: handling of one request; [`admit`] authenticates its caller, [`limits`]
 //!    enforces the limit of its workspace.
 //! 3. [`place`]: endpoint selection and the wait for the request's adapter.
-//! 4. [`attempt`]: one send to an endpoint and the classification of the answer's head.
+//! 4. [`attempt`]: sending to an endpoint and classification of the answer by its head.
 //! 5. [`relay`]: the answer's body; an interrupted stream is resumed at another endpoint.
 //! 6. [`notices`]: notices about endpoints in the headers of their answers.
 //! 7. [`permits`]: permits to send to rate-limited endpoints.
--- a/crates/larkspring/src/direct/entry/peer.rs
+++ b/crates/larkspring/src/direct/entry/peer.rs
@@ -31,7 +31,7 @@
     /// Until when the endpoint's rate limit is used up.
     rate_used_up_until: Mutex<Option<Instant>>,
     /// When this record was created.
-    since: Instant,
+    created: Instant,
     idle: Mutex<Vec<Conn>>,
     open_requests: AtomicU32,
     /// Prompt tokens of this entry's requests that are in prefill.
@@ -102,7 +102,7 @@
             rate_used_up_until: Mutex::default(),
             endpoint: ArcSwap::new(endpoint),
             link,
-            since: Instant::now(),
+            created: Instant::now(),
             idle: Mutex::default(),
             open_requests: AtomicU32::new(0),
             prefill_tokens: AtomicU32::new(0),
@@ -121,7 +121,7 @@
 
     /// Returns whether the endpoint takes new requests, as far as known.
     pub fn is_open(&self) -> bool {
-        self.is_listed_available()
+        self.is_listed_open()
             && self
                 .current_availability()
                 .is_none_or(|availability| availability.is_open(Instant::now()))
@@ -130,7 +130,7 @@
     /// Returns whether the endpoint is not draining, as far as known; it may be in
     /// backoff.
     pub fn stays_in_service(&self) -> bool {
-        self.is_listed_available()
+        self.is_listed_open()
             && !self
                 .current_availability()
                 .is_some_and(|availability| availability.leaves())
@@ -138,7 +138,7 @@
 
     /// Returns whether the endpoint is listed as taking requests and no other run is
     /// known to have its address.
-    fn is_listed_available(&self) -> bool {
+    fn is_listed_open(&self) -> bool {
         let gone = self.gone_until.lock().is_some_and(|until| until > Instant::now());
         !gone && !self.endpoint.load().leaving && self.replaced_by().is_none()
     }
@@ -170,14 +170,13 @@
 
     /// Returns whether the endpoint may be sent a request now: it takes requests, and its
     /// rate is not used up.
-    pub fn takes_request(&self) -> bool {
+    pub fn is_available(&self) -> bool {
         let now = Instant::now();
         let takes = |availability: &Availability| {
             availability.is_open(now)
                 && self.rate_used_up_for(now, availability).is_none()
         };
-        self.is_listed_available()
-            && self.current_availability().as_ref().is_none_or(takes)
+        self.is_listed_open() && self.current_availability().as_ref().is_none_or(takes)
     }
 
     /// Returns the time for which no request may be sent, due to backoff or a used-up
@@ -234,7 +233,7 @@
     /// agent.
     pub fn replaced_by(&self) -> Option<ReportedRun> {
         let run = self.link.as_ref()?.reported_run()?;
-        (run.id != self.endpoint.load().id && run.since > self.since).then_some(run)
+        (run.id != self.endpoint.load().id && run.since > self.created).then_some(run)
     }
 
     /// Returns whether another run has the address, as shown by one of its answers or
--- a/crates/larkspring/src/direct/entry/place.rs
+++ b/crates/larkspring/src/direct/entry/place.rs
@@ -243,7 +243,7 @@
         let request = HoldRequest {
             priority: self.priority(),
             wait: limit,
-            request: &self.caller.id,
+            request_id: &self.caller.id,
             unread_tokens,
             utility: self.utility(model),
             load_time_limit,
@@ -444,7 +444,7 @@
         let request = HoldRequest {
             priority: PRELOAD_PRIORITY,
             wait: PRELOAD_TIMEOUT,
-            request: "",
+            request_id: "",
             unread_tokens: 0,
             utility: worth::OF_COPY,
             load_time_limit: PRELOAD_TIMEOUT,
--- a/crates/larkspring/src/direct/entry/relay.rs
+++ b/crates/larkspring/src/direct/entry/relay.rs
@@ -148,13 +148,13 @@
                 }),
                 Err(_) => Step::Continue,
             },
-            Some(Err(e)) => self.interrupt(&cause_of(&e)),
-            None => self.finish(cx),
+            Some(Err(e)) => self.handle_interruption(&cause_of(&e)),
+            None => self.handle_end(cx),
         })
     }
 
     /// Handles the regular end of the endpoint's answer.
-    fn finish(&mut self, cx: &mut Context<'_>) -> Step {
+    fn handle_end(&mut self, cx: &mut Context<'_>) -> Step {
         let AnswerSource::Endpoint(open) =
             std::mem::replace(&mut self.source, AnswerSource::Ended)
         else {
@@ -172,7 +172,7 @@
     }
 
     /// Handles an interrupted answer: resumes the stream at another endpoint if allowed.
-    fn interrupt(&mut self, cause: &str) -> Step {
+    fn handle_interruption(&mut self, cause: &str) -> Step {
         let source = std::mem::replace(&mut self.source, AnswerSource::Ended);
         if let AnswerSource::Endpoint(open) = &source {
             let selection = &open.selection;
--- a/crates/larkspring/src/direct/entry/view.rs
+++ b/crates/larkspring/src/direct/entry/view.rs
@@ -56,7 +56,7 @@
         let known = link.view();
         let endpoint = peer.endpoint();
         view.running = view.running.max(known.running);
-        view.free_places = known.free_places;
+        view.free_places = known.free_slots;
         view.loads_ahead = known.loads_ahead;
         let without = self.entry.cfg().without;
         if without.uses(Mechanism::UnreadTold) {
@@ -98,7 +98,7 @@
     /// The endpoint's known prefill backlog from other requests, in tokens.
     pub backlog_tokens: u32,
     /// Free adapter slots, as far as known.
-    pub free_places: u32,
+    pub free_slots: u32,
     /// Number of endpoints that held the adapter, as far as known.
     pub holders: usize,
     /// The cost of the endpoint's recent failures in the selection.
@@ -121,7 +121,7 @@
             loads_ahead: view.loads_ahead,
             unread_tokens: view.prompt_tokens,
             backlog_tokens: view.reading,
-            free_places: view.free_places,
+            free_slots: view.free_places,
             holders: views.iter().filter(|v| v.holding == Holding::Resident).count(),
             quality: view.quality,
             candidates: views.len(),
