--- a/crates/larkspring/src/direct/entry/answer.rs
+++ b/crates/larkspring/src/direct/entry/answer.rs
@@ -163,8 +163,8 @@
     }
 }
 
-/// Returns the retry time for an endpoint whose backoff ends after `backoff`: not before
-/// that, and spread over some time after it.
+/// Returns the retry time of a request that waits for the end of a backoff: not before
+/// the end, and spread over some time after the end.
 pub(super) fn retry_after_backoff(backoff: Duration) -> Duration {
     backoff.mul_f64(1.0 + RETRY_SPREAD * fastrand::f64())
 }
--- a/crates/larkspring/src/direct/entry/mod.rs
+++ b/crates/larkspring/src/direct/entry/mod.rs
@@ -326,7 +326,7 @@
         }
     }
 
-    /// Returns whether a request is the retry of a recently refused one, and forgets it.
+    /// Returns whether a request was refused recently, and forgets the refusal.
     fn take_refusal(&self, fingerprint: ContentHash) -> bool {
         let at = self.recent_refusals.lock().remove(&fingerprint);
         at.is_some_and(|at| at.elapsed() < RETRY_WINDOW)
