--- a/crates/larkspring/src/direct/entry/place.rs
+++ b/crates/larkspring/src/direct/entry/place.rs
@@ -1,4 +1,4 @@
-//! Where a request is sent, and the wait for its adapter.
+//! Endpoint selection for a request, and the wait for its adapter.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -14,140 +14,150 @@
 use larkspring_core::ids::{AdapterId, Incarnation, Target, VersionId};
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::answer::{after_rest, Reason};
-use super::attempt::Placed;
+use super::answer::{retry_after_backoff, Reason};
+use super::attempt::Selection;
 use super::job::Job;
-use super::link::{HoldEnd, Need};
+use super::link::{HoldEnd, HoldRequest};
 use super::peer::Peer;
-use super::permits::{Leave, Permit};
-use super::view::{holding_name, Why};
+use super::permits::{Permit, PermitOutcome};
+use super::view::{holding_name, SelectionInputs};
 use crate::direct::edge::ModelRequest;
 use crate::direct::logs::{self, Line};
 use crate::exec::within;
 
-/// Why a request was not placed, and when to come back.
-pub(super) type NotPlaced = (Reason, Option<Duration>);
+/// The reason why no endpoint was selected, and when the caller may retry.
+pub(super) type NoSelection = (Reason, Option<Duration>);
 
-/// Answer of a plain service that nothing is known of; the deployments' calls take about
-/// this long.
-const FIRST_ANSWER: Duration = Duration::from_millis(30);
-/// Time left below which a request is not sent: it could not be answered in time.
-const LEAST_LEFT: Duration = Duration::from_millis(20);
-/// Priority of a copy that is loaded ahead of requests: the least.
-const COPY_PRIORITY: u32 = 9;
-/// How long a copy that is loaded ahead may wait for a place.
-const COPY_WAIT: Duration = Duration::from_secs(5);
-/// Time for an agent to grant what its engine holds: a few times the way between halls and
-/// a turn of a busy process. An agent that takes longer may be frozen or cut off.
-const GRANT: Duration = Duration::from_millis(80);
-/// Endpoints whose rate may turn out to be used up before a request is refused.
-const MAX_DENIALS: u32 = 8;
-/// Endpoints that are asked for an adapter, one after the other.
-const MAX_HOLDS: u32 = 3;
+/// Assumed response time of a plain service without recorded answers; calls of the
+/// deployed services take about 30 ms.
+const DEFAULT_RESPONSE_TIME: Duration = Duration::from_millis(30);
+/// Time left below which a request is not sent, since no answer could come in time.
+const MIN_TIME_LEFT: Duration = Duration::from_millis(20);
+/// Priority of preloading an adapter: the lowest.
+const PRELOAD_PRIORITY: u32 = 9;
+/// How long preloading may wait for an adapter slot.
+const PRELOAD_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time-out for an agent's grant of an adapter that is resident: a few round trips
+/// between halls and a scheduling delay of a busy process. An agent that takes longer may
+/// be frozen or cut off.
+const GRANT_TIMEOUT: Duration = Duration::from_millis(80);
+/// Limits the number of permit denials before a request is refused.
+const MAX_PERMIT_DENIALS: u32 = 8;
+/// Limits the number of endpoints at which holds are requested, one after the other.
+const MAX_HOLD_REQUESTS: u32 = 3;
 
 impl Job {
-    /// Chooses an endpoint and waits until it can take the request.
+    /// Selects an endpoint and waits until the endpoint can take the request.
     ///
-    /// Where there is none it waits for one, as long as that costs the caller little. Where
-    /// all rest, it is refused at once unless the first is back in time for its objective.
-    pub(super) async fn place(&mut self) -> Result<Placed, NotPlaced> {
+    /// If no endpoint is available, waits for the duration of [`Job::max_wait`]. If all
+    /// are in backoff or have used up their rates, refuses the request at once unless the
+    /// first becomes available within the latency objective.
+    pub(super) async fn select_endpoint(&mut self) -> Result<Selection, NoSelection> {
         let mut denials = 0;
         loop {
-            let news = self.entry.fleet.news();
-            let placed = match self.try_place().await {
-                Ok(placed) => self.permitted(placed).await,
+            let change = self.entry.fleet.listen();
+            let selection = match self.try_select().await {
+                Ok(selection) => self.with_permit(selection).await,
                 Err(e) => Err(e),
             };
-            match &placed {
-                Ok(placed) => self.why = Some(placed.why.clone()),
-                // Others are tried, since this one is not chosen now.
-                Err((Reason::UsedUp, _)) if denials < MAX_DENIALS => {
+            match &selection {
+                Ok(selection) => self.inputs = Some(selection.inputs.clone()),
+                // The next selection leaves out the endpoint whose rate is used up.
+                Err((Reason::RateUsedUp, _)) if denials < MAX_PERMIT_DENIALS => {
                     denials += 1;
                     continue;
                 }
                 Err(_) => {}
             }
-            let Err((Reason::NoEndpoint, _)) = placed else { return placed };
-            if let Some(back) = self.entry.fleet.first_back(&self.service.name) {
-                if back > self.patience_with_rest() {
-                    return Err((Reason::Resting, Some(after_rest(back))));
+            let Err((Reason::NoEndpoint, _)) = selection else { return selection };
+            if let Some(available_in) =
+                self.entry.fleet.next_available_in(&self.service.name)
+            {
+                if available_in > self.max_backoff_wait() {
+                    return Err((
+                        Reason::InBackoff,
+                        Some(retry_after_backoff(available_in)),
+                    ));
                 }
-                // Either the rest ends first or something else has changed.
-                within(back, news).await;
+                // Waits for the end of the backoff or for a change of the fleet.
+                within(available_in, change).await;
                 continue;
             }
-            let patience = self.patience();
-            if patience.is_zero() || within(patience, news).await.is_none() {
-                return placed;
+            let timeout = self.max_wait();
+            if timeout.is_zero() || within(timeout, change).await.is_none() {
+                return selection;
             }
         }
     }
 
-    /// Gets leave to send it where it is placed, if the endpoint takes a limited rate.
-    async fn permitted(&self, placed: Placed) -> Result<Placed, NotPlaced> {
-        if placed.permit.is_some_and(|permit| permit.holds()) {
-            return Ok(placed);
+    /// Requests a permit for the selected endpoint if it is rate-limited and there is
+    /// none.
+    async fn with_permit(&self, selection: Selection) -> Result<Selection, NoSelection> {
+        if selection.permit.is_some_and(|permit| permit.is_valid()) {
+            return Ok(selection);
         }
-        let permit = self.permit(&placed.open.peer).await?;
-        Ok(Placed { permit, ..placed })
+        let permit = self.request_permit(&selection.open_request.peer).await?;
+        Ok(Selection { permit, ..selection })
     }
 
-    /// Gets a permit to send to an endpoint; `None` if it takes what comes.
-    async fn permit(&self, peer: &Peer) -> Result<Option<Permit>, NotPlaced> {
-        match self.entry.permits.ask(peer).await {
-            Leave::Free => Ok(None),
-            Leave::With(permit) => Ok(Some(permit)),
-            Leave::UsedUp(wait) => {
-                peer.is_used_up(wait);
-                Err((Reason::UsedUp, Some(after_rest(wait))))
+    /// Requests a permit to send to an endpoint; `None` if the endpoint has no rate
+    /// limit.
+    async fn request_permit(&self, peer: &Peer) -> Result<Option<Permit>, NoSelection> {
+        match self.entry.permits.request(peer).await {
+            PermitOutcome::Unlimited => Ok(None),
+            PermitOutcome::Granted(permit) => Ok(Some(permit)),
+            PermitOutcome::Denied(wait) => {
+                peer.set_rate_used_up(wait);
+                Err((Reason::RateUsedUp, Some(retry_after_backoff(wait))))
             }
         }
     }
 
-    /// How long it may wait for the end of a rest: until its answer would begin late, but for
-    /// one that may have run, which can't be told to come back.
-    fn patience_with_rest(&self) -> Duration {
+    /// Returns how long the request may wait for the end of a backoff: no longer than the
+    /// latency objective allows, unless the request may have run and so can't be refused.
+    fn max_backoff_wait(&self) -> Duration {
         match self.history.may_have_run {
-            true => self.patience(),
-            false => self.patience().min(self.objective_left()),
+            true => self.max_wait(),
+            false => self.max_wait().min(self.time_to_objective()),
         }
     }
 
-    async fn try_place(&mut self) -> Result<Placed, NotPlaced> {
-        if self.left() < LEAST_LEFT {
-            return Err((Reason::LateNotRun, None));
+    async fn try_select(&mut self) -> Result<Selection, NoSelection> {
+        if self.time_left() < MIN_TIME_LEFT {
+            return Err((Reason::TimedOutNotRun, None));
         }
         let model = self.caller.model.clone();
         let engine = self.service.engine.clone();
         match (model, engine) {
             (Some(model), Some(engine)) => match model.adapter.clone() {
-                Some(adapter) => self.place_adapter(&model, &adapter, &engine).await,
-                None => self.place_base(&model, &engine),
+                Some(adapter) => self.select_for_adapter(&model, &adapter, &engine).await,
+                None => self.select_for_base(&model, &engine),
             },
-            _ => self.place_any(),
+            _ => self.select_plain(),
         }
     }
 
-    fn place_any(&self) -> Result<Placed, NotPlaced> {
-        let peers = self.open_peers();
+    fn select_plain(&self) -> Result<Selection, NoSelection> {
+        let peers = self.candidates();
         let now = Instant::now();
         let views: Vec<_> = peers.iter().map(|p| self.plain_view(now, p)).collect();
         let times = peers.iter().map(|p| p.quality(|q| q.time()));
-        let time = times.max().filter(|t| !t.is_zero()).unwrap_or(FIRST_ANSWER);
+        let time = times.max().filter(|t| !t.is_zero()).unwrap_or(DEFAULT_RESPONSE_TIME);
         let chosen = match self.entry.cfg().placement {
             Placement::Random => choose_random(&views),
             Placement::Least => least_running(&views),
             Placement::Cost | Placement::Home => for_any(&views, time),
         };
-        self.placed(&peers, &views, chosen)
+        self.selection(&peers, &views, chosen)
     }
 
-    /// Places a request for the base model alone, which every engine holds.
-    fn place_base(
+    /// Selects an endpoint for a request to the base model alone, which every engine
+    /// holds.
+    fn select_for_base(
         &self,
         model: &ModelRequest,
         engine: &Engine,
-    ) -> Result<Placed, NotPlaced> {
+    ) -> Result<Selection, NoSelection> {
         let base = xxh3_64(model.base.as_bytes());
         let now = Instant::now();
         let view = |p: &Arc<Peer>| {
@@ -155,164 +165,175 @@
             view.quality += Duration::from_secs_f64(batch_cost(&view) / 1000.0);
             view
         };
-        let seen = self.open_peers().into_iter().map(|p| (view(&p), p));
-        // One that is still being given its base model would refuse the request, and of
-        // one whose agent is not heard yet it is not known.
-        let is_coming = |p: &Peer| p.link.as_ref().is_some_and(|link| link.is_coming());
-        let (views, peers): (Vec<_>, Vec<_>) =
-            seen.filter(|(view, p)| !view.filling && !is_coming(p)).unzip();
+        let viewed = self.candidates().into_iter().map(|p| (view(&p), p));
+        // An engine that is still loading its base model would refuse the request.
+        // Engines whose agents have not reported yet may be loading theirs.
+        let is_first_message_pending = |p: &Peer| {
+            p.link.as_ref().is_some_and(|link| link.is_first_message_pending())
+        };
+        let (views, peers): (Vec<_>, Vec<_>) = viewed
+            .filter(|(view, p)| !view.filling && !is_first_message_pending(p))
+            .unzip();
         let chosen = for_any(&views, Duration::ZERO);
         if let Some(at) = chosen {
-            peers[at].reads(base, model);
+            peers[at].record_prompt(base, model);
         }
-        self.placed(&peers, &views, chosen)
+        self.selection(&peers, &views, chosen)
     }
 
-    async fn place_adapter(
+    async fn select_for_adapter(
         &mut self,
         model: &ModelRequest,
         adapter: &AdapterId,
         engine: &Engine,
-    ) -> Result<Placed, NotPlaced> {
-        let mut last: NotPlaced = (Reason::NoEndpoint, None);
-        let mut passed_over = Vec::new();
+    ) -> Result<Selection, NoSelection> {
+        let mut last: NoSelection = (Reason::NoEndpoint, None);
+        let mut excluded = Vec::new();
         let mut holds = 0;
-        while holds < MAX_HOLDS {
-            let Some(choice) = self.choose(model, adapter, engine, &passed_over) else {
+        while holds < MAX_HOLD_REQUESTS {
+            let Some(chosen) = self.select_adapter(model, adapter, engine, &excluded)
+            else {
                 break;
             };
-            self.why = Some(choice.why.clone());
-            passed_over.push(choice.peer.endpoint().id.clone());
-            // Before its adapter is asked for, which may be loaded for nothing otherwise.
-            match self.permit(&choice.peer).await {
+            self.inputs = Some(chosen.inputs.clone());
+            excluded.push(chosen.peer.endpoint().id.clone());
+            // The permit comes first: without it the adapter might be loaded for nothing.
+            match self.request_permit(&chosen.peer).await {
                 Ok(permit) => {
                     holds += 1;
-                    match self.hold(choice, model).await {
-                        Ok(placed) => return Ok(Placed { permit, ..placed }),
+                    match self.request_hold(chosen, model).await {
+                        Ok(selection) => return Ok(Selection { permit, ..selection }),
                         Err(Some(refused)) => last = refused,
                         Err(None) => {}
                     }
                 }
                 Err(refused) => last = refused,
             }
-            if self.left() < LEAST_LEFT {
+            if self.time_left() < MIN_TIME_LEFT {
                 break;
             }
         }
         Err(last)
     }
 
-    /// Has the chosen endpoint's agent hold the adapter; an agent that refuses says when to
-    /// come back.
-    async fn hold(
+    /// Requests a hold of the adapter from the selected endpoint's agent. A refusal
+    /// carries the time after which the caller may retry.
+    async fn request_hold(
         &mut self,
-        choice: Choice,
+        chosen: AdapterSelection,
         model: &ModelRequest,
-    ) -> Result<Placed, Option<NotPlaced>> {
-        let Choice { peer, target, agent, why } = choice;
+    ) -> Result<Selection, Option<NoSelection>> {
+        let AdapterSelection { peer, target, needs_hold, inputs } = chosen;
         let hash = target.hash();
-        let unread_tokens = why.unread_tokens;
-        let in_time = self.in_time(&why);
-        let open = peer.enter();
-        let placed = |open, hold| Placed::new(open, Some(target.clone()), why, hold);
-        let link = peer.link.as_ref().filter(|_| agent);
+        let unread_tokens = inputs.unread_tokens;
+        let load_time_limit = self.load_time_limit(&inputs);
+        let open = peer.open_request();
+        let selection =
+            |open, hold| Selection::new(open, Some(target.clone()), inputs, hold);
+        let link = peer.link.as_ref().filter(|_| needs_hold);
         let Some(link) = link else {
-            peer.reads(hash, model);
-            return Ok(placed(open, None));
+            peer.record_prompt(hash, model);
+            return Ok(selection(open, None));
         };
-        let asked = Instant::now();
-        let limit = self.left().saturating_sub(LEAST_LEFT);
-        let was = link.holding(hash);
-        let resident = was == Some(Holding::Resident);
-        let patience = if resident { limit.min(GRANT) } else { limit };
-        let need = Need {
-            priority: self.rank(),
+        let requested_at = Instant::now();
+        let limit = self.time_left().saturating_sub(MIN_TIME_LEFT);
+        let held_before = link.holding(hash);
+        let resident = held_before == Some(Holding::Resident);
+        let timeout = if resident { limit.min(GRANT_TIMEOUT) } else { limit };
+        let request = HoldRequest {
+            priority: self.priority(),
             wait: limit,
-            request: &self.caller.id,
+            request_id: &self.caller.id,
             unread_tokens,
-            worth: self.worth(model),
-            in_time,
+            utility: self.utility(model),
+            load_time_limit,
         };
-        let mut hold = link.hold(target.clone(), need);
+        let mut hold = link.request_hold(target.clone(), request);
         let fleet = self.entry.fleet.clone();
-        let leaves = async {
-            fleet.leaves(&peer).await;
+        let unavailable = async {
+            fleet.wait_unavailable(&peer).await;
             HoldEnd::Lost
         };
-        let end = within(patience, future::or(leaves, hold.granted())).await;
-        let took = asked.elapsed();
+        let end = within(timeout, future::or(unavailable, hold.wait_granted())).await;
+        let took = requested_at.elapsed();
         self.waited += took;
-        // Its engine may have come back as another run meanwhile, to which the grant holds.
-        let now_there = fleet.present(&peer);
-        if !now_there.is_open() {
-            // It began to leave or to rest while its adapter was waited for.
-            self.log_hold(&peer, "the endpoint takes no requests any more", took);
+        // The engine may have restarted meanwhile; the grant then applies to its new run.
+        let current_peer = fleet.current_run(&peer);
+        if !current_peer.is_open() {
+            // The endpoint began to drain or back off during the wait for the adapter.
+            self.log_not_held(&peer, "the endpoint is draining or in backoff", took);
             return Err(None);
         }
-        let open = if Arc::ptr_eq(&now_there, &peer) { open } else { now_there.enter() };
-        let peer = now_there;
-        let (counted, reason) = match end {
+        let open = if Arc::ptr_eq(&current_peer, &peer) {
+            open
+        } else {
+            current_peer.open_request()
+        };
+        let peer = current_peer;
+        let (label, reason) = match end {
             Some(HoldEnd::Granted { copy_pays }) => {
                 self.entry.stats.hold("granted");
-                self.entry.stats.adapter_wait(holding_name(was), took);
+                self.entry.stats.adapter_wait(holding_name(held_before), took);
                 if copy_pays {
-                    self.copy_here(&target, model);
+                    self.preload_in_hall(&target, model);
                 }
-                peer.reads(hash, model);
-                return Ok(placed(open, Some(hold)));
+                peer.record_prompt(hash, model);
+                return Ok(selection(open, Some(hold)));
             }
             Some(HoldEnd::Refused { reason, retry_after }) => {
                 self.entry.stats.hold("refused");
-                self.log_hold(&peer, &reason, took);
+                self.log_not_held(&peer, &reason, took);
                 return Err(Some((Reason::NoAdapterInTime, Some(retry_after))));
             }
             Some(HoldEnd::Lost) => ("lost", "the agent is silent"),
-            None => ("late", "the agent did not grant it in time"),
+            None => ("late", "the agent did not grant the hold in time"),
         };
-        self.entry.stats.hold(counted);
-        self.log_hold(&peer, reason, took);
+        self.entry.stats.hold(label);
+        self.log_not_held(&peer, reason, took);
         if !resident {
             return Err(None);
         }
-        // The engine itself refuses what it does not hold any more.
-        peer.reads(hash, model);
-        Ok(placed(open, Some(hold)))
+        // Sends without a grant: an engine that has evicted the adapter refuses the
+        // request.
+        peer.record_prompt(hash, model);
+        Ok(selection(open, Some(hold)))
     }
 
-    /// What an answer in time is worth, against other requests.
-    fn worth(&self, model: &ModelRequest) -> f64 {
+    /// Returns the utility of an answer in time, relative to other requests.
+    fn utility(&self, model: &ModelRequest) -> f64 {
         match self.entry.cfg().without.uses(Mechanism::WorthBySize) {
             true => worth::of_prompt(model.prompt_tokens),
             false => worth::of_prompt(0),
         }
     }
 
-    /// How long the adapter may take at an engine until the answer begins late.
-    fn in_time(&self, why: &Why) -> Duration {
-        let unread = why.reading_tokens + why.unread_tokens;
-        self.objective_left().saturating_sub(reading_time(unread))
+    /// Returns the load time within which the answer can still begin within the
+    /// objective.
+    fn load_time_limit(&self, inputs: &SelectionInputs) -> Duration {
+        let unread = inputs.backlog_tokens + inputs.unread_tokens;
+        self.time_to_objective().saturating_sub(reading_time(unread))
     }
 
-    /// Time until its answer begins late.
-    fn objective_left(&self) -> Duration {
+    /// Returns the time left until the latency objective is missed.
+    fn time_to_objective(&self) -> Duration {
         self.route.objective.saturating_sub(self.received.elapsed())
     }
 
-    /// Chooses an endpoint and a version of the adapter for it.
-    fn choose(
+    /// Selects an endpoint and the version of the adapter to run there.
+    fn select_adapter(
         &self,
         model: &ModelRequest,
         adapter: &AdapterId,
         engine: &Engine,
-        passed_over: &[Incarnation],
-    ) -> Option<Choice> {
+        excluded: &[Incarnation],
+    ) -> Option<AdapterSelection> {
         let now = Instant::now();
         let versions = self.entry.beliefs.versions();
         let newest = versions.newest(adapter);
         let target = Target { adapter: adapter.clone(), version: newest };
         let hash = target.hash();
-        let mut peers = self.open_peers();
-        peers.retain(|p| !passed_over.contains(&p.endpoint().id));
+        let mut peers = self.candidates();
+        peers.retain(|p| !excluded.contains(&p.endpoint().id));
         let peers =
             ranked(hash, peers.into_iter().map(|p| (p.endpoint(), p)).collect(), |e| {
                 &e.0.id
@@ -322,15 +343,15 @@
             peers.iter().map(|p| self.engine_view(now, p, hash, model, engine)).collect();
         let resident = views.iter().any(|v| v.holding == Holding::Resident);
         if !resident {
-            // A request that must not run twice could not be taken back if it were still
-            // waiting when the version before may not be used any more.
+            // A request that must not run twice can't be withdrawn, so it must not be
+            // queued at an engine when use of the previous version ends.
             let repeatable = self.route.class.may_run_again();
             let old = versions.still_allowed(now, adapter).filter(|_| repeatable);
-            if let Some(choice) =
-                old.and_then(|v| self.choose_old(&peers, adapter, v, model, engine))
-            {
-                self.copy_ahead(&peers, &views, &target);
-                return Some(choice);
+            if let Some(chosen) = old.and_then(|v| {
+                self.select_previous_version(&peers, adapter, v, model, engine)
+            }) {
+                self.preload_ahead(&peers, &views, &target);
+                return Some(chosen);
             }
         }
         let without = self.entry.cfg().without;
@@ -340,20 +361,20 @@
             Placement::Random => choose_random(&views)?,
             Placement::Least => least_running(&views)?,
         };
-        let agent = views[at].can_load;
-        let why = Why::new(&peers[at], &views, at);
-        Some(Choice { peer: peers[at].clone(), target, agent, why })
+        let needs_hold = views[at].can_load;
+        let inputs = SelectionInputs::new(&peers[at], &views, at);
+        Some(AdapterSelection { peer: peers[at].clone(), target, needs_hold, inputs })
     }
 
-    /// Chooses among the endpoints that hold the version before, while it is allowed.
-    fn choose_old(
+    /// Selects among the endpoints that hold the previous version, while it is allowed.
+    fn select_previous_version(
         &self,
         peers: &[Arc<Peer>],
         adapter: &AdapterId,
         version: VersionId,
         model: &ModelRequest,
         engine: &Engine,
-    ) -> Option<Choice> {
+    ) -> Option<AdapterSelection> {
         let now = Instant::now();
         let target = Target { adapter: adapter.clone(), version };
         let hash = target.hash();
@@ -368,22 +389,28 @@
             .map(|v| if holds(v) { *v } else { View { can_load: false, ..*v } })
             .collect();
         let at = for_adapter(&open, self.entry.cfg().without)?;
-        let why = Why::new(&peers[at], &views, at);
-        Some(Choice { peer: peers[at].clone(), target, agent: views[at].can_load, why })
+        let inputs = SelectionInputs::new(&peers[at], &views, at);
+        Some(AdapterSelection {
+            peer: peers[at].clone(),
+            target,
+            needs_hold: views[at].can_load,
+            inputs,
+        })
     }
 
-    /// Has an adapter loaded at its home, ahead of the requests that will need it.
-    fn copy_ahead(&self, peers: &[Arc<Peer>], views: &[View], target: &Target) {
+    /// Preloads an adapter at the endpoint that would be selected for its new version.
+    fn preload_ahead(&self, peers: &[Arc<Peer>], views: &[View], target: &Target) {
         let at = for_adapter(views, self.entry.cfg().without);
-        self.copy(at.map(|at| &peers[at]), target);
+        self.preload(at.map(|at| &peers[at]), target);
     }
 
-    /// Has an adapter loaded at the first endpoint of this hall, unless one has it.
-    fn copy_here(&self, target: &Target, model: &ModelRequest) {
+    /// Preloads an adapter at the highest-ranked suitable endpoint of this hall, unless
+    /// an endpoint of the hall holds or loads it.
+    fn preload_in_hall(&self, target: &Target, model: &ModelRequest) {
         let Some(engine) = &self.service.engine else { return };
         let (now, hash) = (Instant::now(), target.hash());
         let hall = &self.entry.cfg().process.hall;
-        let mut peers = self.entry.fleet.open(&self.service.name);
+        let mut peers = self.entry.fleet.available(&self.service.name);
         peers.retain(|p| p.endpoint().hall == *hall);
         let peers =
             ranked(hash, peers.into_iter().map(|p| (p.endpoint(), p)).collect(), |e| {
@@ -396,44 +423,44 @@
         if views.iter().any(held) {
             return;
         }
-        // A copy is only worth it where it delays nobody.
+        // Preloads only where the load delays no request.
         let fit = |v: &View| {
             let is_free = v.free_places > 0 && v.loads_ahead == 0;
             v.same_hall && v.can_load && !v.rated && is_free
         };
         let copied = |v: &View| v.holding == Holding::Copied && fit(v);
         let at = views.iter().position(copied).or_else(|| views.iter().position(fit));
-        self.copy(at.map(|at| &peers[at]), target);
+        self.preload(at.map(|at| &peers[at]), target);
     }
 
-    fn copy(&self, peer: Option<&Arc<Peer>>, target: &Target) {
+    fn preload(&self, peer: Option<&Arc<Peer>>, target: &Target) {
         if !self.entry.cfg().without.uses(Mechanism::CopyAhead) {
             return;
         }
         let link = peer.and_then(|p| p.link.clone());
-        let Some(link) = link.filter(|_| self.entry.may_copy(target.hash())) else {
+        let Some(link) = link.filter(|_| self.entry.start_preload(target.hash())) else {
             return;
         };
-        let need = Need {
-            priority: COPY_PRIORITY,
-            wait: COPY_WAIT,
-            request: "",
+        let request = HoldRequest {
+            priority: PRELOAD_PRIORITY,
+            wait: PRELOAD_TIMEOUT,
+            request_id: "",
             unread_tokens: 0,
-            worth: worth::OF_COPY,
-            in_time: COPY_WAIT,
+            utility: worth::OF_COPY,
+            load_time_limit: PRELOAD_TIMEOUT,
         };
-        let mut hold = link.hold(target.clone(), need);
+        let mut hold = link.request_hold(target.clone(), request);
         let stats = self.entry.stats.clone();
         crate::exec::spawn(async move {
-            let end = within(COPY_WAIT, hold.granted()).await;
+            let end = within(PRELOAD_TIMEOUT, hold.wait_granted()).await;
             let granted = end.is_some_and(|end| end.is_granted());
             stats.hold(if granted { "copied" } else { "not copied" });
         })
         .detach();
     }
 
-    fn open_peers(&self) -> Vec<Arc<Peer>> {
-        let mut peers = self.entry.fleet.open(&self.service.name);
+    fn candidates(&self) -> Vec<Arc<Peer>> {
+        let mut peers = self.entry.fleet.available(&self.service.name);
         let untried = |p: &Arc<Peer>| !self.tried.contains(&p.endpoint().id);
         if peers.iter().any(untried) {
             peers.retain(untried);
@@ -441,20 +468,20 @@
         peers
     }
 
-    fn placed(
+    fn selection(
         &self,
         peers: &[Arc<Peer>],
         views: &[View],
         at: Option<usize>,
-    ) -> Result<Placed, NotPlaced> {
+    ) -> Result<Selection, NoSelection> {
         let Some(at) = at else {
             return Err((Reason::NoEndpoint, None));
         };
-        let why = Why::new(&peers[at], views, at);
-        Ok(Placed::new(peers[at].enter(), None, why, None))
+        let inputs = SelectionInputs::new(&peers[at], views, at);
+        Ok(Selection::new(peers[at].open_request(), None, inputs, None))
     }
 
-    fn log_hold(&self, peer: &Peer, reason: &str, took: Duration) {
+    fn log_not_held(&self, peer: &Peer, reason: &str, took: Duration) {
         if logs::allows(Line::Attempt) {
             tracing::info!(
                 event = "adapter not held",
@@ -467,13 +494,13 @@
     }
 }
 
-/// An endpoint for a request, and what it has to hold.
-struct Choice {
+/// A selected endpoint and the adapter version that it has to hold.
+struct AdapterSelection {
     peer: Arc<Peer>,
     target: Target,
-    /// Whether its agent is asked first.
-    agent: bool,
-    why: Why,
+    /// Whether a hold is requested from the endpoint's agent first.
+    needs_hold: bool,
+    inputs: SelectionInputs,
 }
 
 fn choose_random(views: &[View]) -> Option<usize> {
--- a/crates/larkspring/src/direct/entry/relay.rs
+++ b/crates/larkspring/src/direct/entry/relay.rs
@@ -1,7 +1,8 @@
-//! The body of an answer on its way to the caller.
+//! The relay of an answer's body from an endpoint to the caller.
 //!
 //! The task of the caller's connection drives the endpoint's connection too, so a caller
-//! that reads slowly slows the endpoint, and one that leaves closes its connection.
+//! that reads slowly slows the endpoint down, and a caller that disconnects closes the
+//! connection to the endpoint.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -18,79 +19,80 @@
 
 use super::answer::RelayError;
 use super::attempt::OpenAnswer;
-use super::ends::Ends;
-use super::events::Events;
+use super::ends::CrashDetector;
+use super::events::EventSplitter;
 use super::job::Job;
 use super::Inner;
 use crate::direct::conn::cause_of;
 use crate::direct::logs::{self, Line};
 
-/// An answer that is relayed.
+/// An answer that is being relayed.
 pub(super) struct Relay {
-    /// The request, for a stream that may go on elsewhere.
+    /// The request, kept if the stream may be resumed at another endpoint.
     job: Option<Box<Job>>,
-    ends: Arc<Ends>,
+    crashes: Arc<CrashDetector>,
     id: String,
-    content: ContentHash,
-    /// The run that answers.
+    fingerprint: ContentHash,
+    /// The run whose answer is relayed.
     endpoint: Incarnation,
-    from: From,
-    /// Whole events, where the stream may go on elsewhere.
-    events: Option<Events>,
+    source: AnswerSource,
+    /// Splits the stream into whole events, if the stream may be resumed.
+    events: Option<EventSplitter>,
     deadline: Timer,
     sent: u64,
     is_success: bool,
-    pauses: Pauses,
+    pause: LongestPause,
 }
 
-/// The longest time without anything for the caller; counted when the answer is over.
-struct Pauses {
+/// The longest pause between two chunks for the caller, recorded when the answer is over.
+struct LongestPause {
     entry: Arc<Inner>,
     route: Arc<Route>,
     last: Instant,
     longest: Duration,
 }
 
-/// Where the bytes come from.
-enum From {
+/// The source of the bytes.
+enum AnswerSource {
     Endpoint(Box<OpenAnswer>),
-    /// The stream broke, and another endpoint is asked to go on.
+    /// The stream was interrupted and is being resumed at another endpoint.
     Resuming(Resume),
-    Over,
+    Ended,
 }
 
 type Resume = Pin<Box<dyn Future<Output = Option<(Box<Job>, OpenAnswer)>> + Send>>;
 
 impl Relay {
-    /// Creates the relay of an answer; a resumable one is handed on in whole events.
+    /// Creates the relay of an answer; a resumable stream is relayed in whole events.
     pub fn new(job: Job, open: OpenAnswer, resumable: bool, is_success: bool) -> Self {
-        let events = resumable.then(|| Events::after(job.resume_after.clone()));
+        let events =
+            resumable.then(|| EventSplitter::resuming_after(job.resume_after.clone()));
         Self {
-            ends: job.entry.ends.clone(),
+            crashes: job.entry.crashes.clone(),
             id: job.caller.id.clone(),
-            content: job.content,
-            endpoint: open.placed.open.peer.endpoint().id.clone(),
-            from: From::Endpoint(Box::new(open)),
+            fingerprint: job.fingerprint,
+            endpoint: open.selection.open_request.peer.endpoint().id.clone(),
+            source: AnswerSource::Endpoint(Box::new(open)),
             events,
             deadline: Timer::at(job.deadline),
             sent: 0,
             is_success,
-            pauses: Pauses::new(&job),
-            // The body of a request that can't go on elsewhere is not needed any more.
+            pause: LongestPause::new(&job),
+            // Frees the request's body, which only a resumed stream needs again.
             job: resumable.then(|| Box::new(job)),
         }
     }
 
-    /// Whether all has been handed on.
+    /// Returns whether the relay has ended.
     pub fn is_over(&self) -> bool {
-        matches!(self.from, From::Over)
+        matches!(self.source, AnswerSource::Ended)
     }
 
-    /// Length of what is still to come, where it is known.
+    /// Returns the length of the remaining bytes, if known.
     pub fn size_hint(&self) -> SizeHint {
-        match (&self.from, &self.events) {
-            (From::Endpoint(open), None) => open.body.size_hint(),
-            (From::Over, _) => SizeHint::with_exact(0),
+        match (&self.source, &self.events) {
+            (AnswerSource::Endpoint(open), None) => open.body.size_hint(),
+            (AnswerSource::Ended, _) => SizeHint::with_exact(0),
             _ => SizeHint::default(),
         }
     }
@@ -101,40 +103,40 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Bytes, RelayError>>> {
         if Pin::new(&mut self.deadline).poll(cx).is_ready() {
-            self.from = From::Over;
+            self.source = AnswerSource::Ended;
             self.log("out of time");
-            return Poll::Ready(Some(Err(RelayError::Late)));
+            return Poll::Ready(Some(Err(RelayError::TimedOut)));
         }
         loop {
-            let next = match &mut self.from {
-                From::Over => return Poll::Ready(None),
-                From::Resuming(resume) => {
+            let next = match &mut self.source {
+                AnswerSource::Ended => return Poll::Ready(None),
+                AnswerSource::Resuming(resume) => {
                     let resumed = ready!(resume.as_mut().poll(cx));
-                    self.go_on(resumed)
+                    self.resume_with(resumed)
                 }
-                From::Endpoint(_) => ready!(self.poll_endpoint(cx)),
+                AnswerSource::Endpoint(_) => ready!(self.poll_endpoint(cx)),
             };
             match next {
                 Step::Data(data) if data.is_empty() => {}
                 Step::Data(data) => {
                     self.sent += data.len() as u64;
-                    self.pauses.note();
+                    self.pause.record();
                     return Poll::Ready(Some(Ok(data)));
                 }
-                Step::Again => {}
+                Step::Continue => {}
                 Step::End => return Poll::Ready(None),
-                Step::Broken(cause) => {
-                    self.from = From::Over;
+                Step::Interrupted(cause) => {
+                    self.source = AnswerSource::Ended;
                     self.log(&cause);
-                    return Poll::Ready(Some(Err(RelayError::Broken(cause))));
+                    return Poll::Ready(Some(Err(RelayError::Interrupted(cause))));
                 }
             }
         }
     }
 
     fn poll_endpoint(&mut self, cx: &mut Context<'_>) -> Poll<Step> {
-        let From::Endpoint(open) = &mut self.from else {
-            return Poll::Ready(Step::Again);
+        let AnswerSource::Endpoint(open) = &mut self.source else {
+            return Poll::Ready(Step::Continue);
         };
         open.conn.drive(cx);
         let frame = ready!(Pin::new(&mut open.body).poll_frame(cx));
@@ -144,72 +146,82 @@
                     Some(events) => events.push(&data),
                     None => data,
                 }),
-                Err(_) => Step::Again,
+                Err(_) => Step::Continue,
             },
-            Some(Err(e)) => self.broken(&cause_of(&e)),
-            None => self.ended(cx),
+            Some(Err(e)) => self.handle_interruption(&cause_of(&e)),
+            None => self.handle_end(cx),
         })
     }
 
-    /// The endpoint's answer has ended as it should.
-    fn ended(&mut self, cx: &mut Context<'_>) -> Step {
-        let From::Endpoint(open) = std::mem::replace(&mut self.from, From::Over) else {
+    /// Handles the regular end of the endpoint's answer.
+    fn handle_end(&mut self, cx: &mut Context<'_>) -> Step {
+        let AnswerSource::Endpoint(open) =
+            std::mem::replace(&mut self.source, AnswerSource::Ended)
+        else {
             return Step::End;
         };
-        let peer = open.placed.open.peer.clone();
-        peer.rest(open.conn, cx);
+        let peer = open.selection.open_request.peer.clone();
+        peer.add_idle(open.conn, cx);
         if self.is_success {
-            self.ends.answered(self.content);
+            self.crashes.record_answer(self.fingerprint);
         }
-        match self.events.as_mut().map(Events::rest) {
-            Some(rest) if !rest.is_empty() => Step::Data(rest),
+        match self.events.as_mut().map(EventSplitter::take_partial) {
+            Some(partial) if !partial.is_empty() => Step::Data(partial),
             _ => Step::End,
         }
     }
 
-    /// The endpoint's answer broke off: another one goes on, if that is allowed.
-    fn broken(&mut self, cause: &str) -> Step {
-        let from = std::mem::replace(&mut self.from, From::Over);
-        if let From::Endpoint(open) = &from {
-            let placed = &open.placed;
-            self.ends.broke(&placed.open.peer, self.content, &self.id, placed.began);
+    /// Handles an interrupted answer: resumes the stream at another endpoint if allowed.
+    fn handle_interruption(&mut self, cause: &str) -> Step {
+        let source = std::mem::replace(&mut self.source, AnswerSource::Ended);
+        if let AnswerSource::Endpoint(open) = &source {
+            let selection = &open.selection;
+            self.crashes.connection_broke(
+                &selection.open_request.peer,
+                self.fingerprint,
+                &self.id,
+                selection.selected_at,
+            );
         }
-        let (From::Endpoint(open), Some(events)) = (from, self.events.as_mut()) else {
-            return Step::Broken(cause.into());
+        let (AnswerSource::Endpoint(open), Some(events)) = (source, self.events.as_mut())
+        else {
+            return Step::Interrupted(cause.into());
+        };
+        let Some(mut job) = self.job.take() else {
+            return Step::Interrupted(cause.into());
         };
-        let Some(mut job) = self.job.take() else { return Step::Broken(cause.into()) };
-        let peer = open.placed.open.peer.clone();
-        // Its connection closes here, before the stream goes on elsewhere.
+        let peer = open.selection.open_request.peer.clone();
+        // Closes the connection before the stream is resumed at another endpoint.
         drop(open);
-        events.forget_rest();
-        job.resume_after = events.last.clone();
+        events.discard_partial();
+        job.resume_after = events.last_event_id.clone();
         peer.quality(|q| q.bad(Instant::now()));
-        if job.after(AttemptEnd::Unclear, &peer) != Next::Elsewhere {
-            return Step::Broken(cause.into());
+        if job.record_attempt(AttemptEnd::Unclear, &peer) != Next::Elsewhere {
+            return Step::Interrupted(cause.into());
         }
         if logs::allows(Line::Attempt) {
             let last = job.resume_after.as_deref();
             tracing::info!(
                 event = "stream resumed",
                 request = self.id,
-                content = logs::hash(self.content),
+                content = logs::hash(self.fingerprint),
                 endpoint = %self.endpoint,
                 cause,
                 last,
             );
         }
-        self.from = From::Resuming(Box::pin(resume(job)));
-        Step::Again
+        self.source = AnswerSource::Resuming(Box::pin(resume(job)));
+        Step::Continue
     }
 
-    fn go_on(&mut self, resumed: Option<(Box<Job>, OpenAnswer)>) -> Step {
+    fn resume_with(&mut self, resumed: Option<(Box<Job>, OpenAnswer)>) -> Step {
         let Some((job, open)) = resumed else {
-            return Step::Broken("no other endpoint went on with it".into());
+            return Step::Interrupted("no other endpoint resumed the stream".into());
         };
         self.job = Some(job);
-        self.endpoint = open.placed.open.peer.endpoint().id.clone();
-        self.from = From::Endpoint(Box::new(open));
-        Step::Again
+        self.endpoint = open.selection.open_request.peer.endpoint().id.clone();
+        self.source = AnswerSource::Endpoint(Box::new(open));
+        Step::Continue
     }
 
     fn log(&self, cause: &str) {
@@ -218,7 +230,7 @@
             tracing::warn!(
                 event = "answer broke off",
                 request = self.id,
-                content = logs::hash(self.content),
+                content = logs::hash(self.fingerprint),
                 endpoint = %self.endpoint,
                 cause,
                 sent,
@@ -227,20 +239,20 @@
     }
 }
 
-impl Pauses {
+impl LongestPause {
     fn new(job: &Job) -> Self {
         let (entry, route) = (job.entry.clone(), job.route.clone());
         Self { entry, route, last: Instant::now(), longest: Duration::ZERO }
     }
 
-    fn note(&mut self) {
+    fn record(&mut self) {
         let now = Instant::now();
         self.longest = self.longest.max(now.saturating_duration_since(self.last));
         self.last = now;
     }
 }
 
-impl Drop for Pauses {
+impl Drop for LongestPause {
     fn drop(&mut self) {
         self.entry.stats.pause(&self.route.name, self.longest);
     }
@@ -248,14 +260,14 @@
 
 enum Step {
     Data(Bytes),
-    Again,
+    Continue,
     End,
-    Broken(String),
+    Interrupted(String),
 }
 
-/// Has another endpoint go on with a stream.
+/// Resumes a stream at another endpoint.
 async fn resume(mut job: Box<Job>) -> Option<(Box<Job>, OpenAnswer)> {
-    let answered = job.attempts().await.ok()?;
+    let answered = job.run_attempts().await.ok()?;
     if !answered.head.status.is_success() {
         return None;
     }
--- a/crates/larkspring/src/direct/entry/serve.rs
+++ b/crates/larkspring/src/direct/entry/serve.rs
@@ -1,7 +1,8 @@
-//! Connections of callers.
+//! Caller connections.
 //!
-//! hyper reads heads and frames bodies. The bounds in time are kept here, since they are
-//! declared, change while connections are open and differ for a rest and for a slow head.
+//! hyper reads heads and frames bodies. The time-outs are implemented in this module,
+//! since they are part of the declared routing, change while connections are open, and
+//! differ for idle connections and slow heads.
 
 use std::convert::Infallible;
 use std::io;
@@ -23,23 +24,23 @@
 
 use super::answer::AnswerBody;
 use super::job;
-use super::{Inner, Stop};
+use super::{Inner, Shutdown};
 use crate::direct::logs::{self, Line};
 use crate::exec;
 
-/// Pause after a connection could not be accepted, as when descriptors run out.
+/// Pause after a failed accept, for example when file descriptors run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// Least buffer that hyper works with, in bytes.
-const LEAST_BUFFER: usize = 8 * 1024;
-/// Time to tell a caller that its head came too slowly.
-const LAST_WORDS: Duration = Duration::from_millis(500);
-const SLOW_HEAD: &[u8] = b"HTTP/1.1 408 Request Timeout\r\n\
+/// Minimum buffer size that hyper accepts, in bytes.
+const MIN_BUFFER: usize = 8 * 1024;
+/// Time-out for sending the response to a slow head.
+const SLOW_HEAD_TIMEOUT: Duration = Duration::from_millis(500);
+const SLOW_HEAD_RESPONSE: &[u8] = b"HTTP/1.1 408 Request Timeout\r\n\
     content-length: 0\r\nconnection: close\r\n\r\n";
 
-/// Accepts connections until the entry closes.
+/// Accepts connections until shutdown reaches the closing stage.
 pub(super) async fn accept(listener: TcpListener, entry: Arc<Inner>) {
     let closing = async {
-        entry.stop.closing().await;
+        entry.shutdown.wait_closing().await;
         None
     };
     let mut closing = std::pin::pin!(closing);
@@ -48,7 +49,7 @@
         match future::or(&mut closing, accepted).await {
             None => return,
             Some(Ok((sock, _))) => {
-                let open = entry.stop.connections.load(Ordering::Acquire);
+                let open = entry.shutdown.connections.load(Ordering::Acquire);
                 if open >= entry.cfg().max_connections {
                     if logs::allows(Line::Caller) {
                         tracing::warn!(event = "connection refused", open);
@@ -65,39 +66,39 @@
     }
 }
 
-/// What a connection is at, seen from its socket and its requests.
+/// The phase of a connection, set by its socket and its requests.
 #[derive(Debug)]
 pub(super) struct Phase {
-    at: AtomicU8,
+    stage: AtomicU8,
     since: Mutex<Instant>,
 }
 
-const RESTING: u8 = 0;
+const IDLE: u8 = 0;
 const HEAD: u8 = 1;
 const SERVING: u8 = 2;
 
-/// Why the bounds end a connection.
-enum Bound {
-    Rested,
+/// The reason why a connection is ended.
+enum ConnectionEnd {
+    Idle,
     SlowHead,
     Closing,
 }
 
 async fn serve(sock: TcpStream, entry: Arc<Inner>) {
-    let _counted = Counted::new(&entry);
+    let _counted = ConnectionCount::new(&entry);
     let _ = sock.set_nodelay(true);
     let phase = Arc::new(Phase::new());
-    let io = FuturesIo::new(Timed { sock, phase: phase.clone() });
-    let (served, at) = (entry.clone(), phase.clone());
+    let io = FuturesIo::new(TimedSocket { sock, phase: phase.clone() });
+    let (served, request_phase) = (entry.clone(), phase.clone());
     let service = service_fn(move |req| {
-        at.set(SERVING);
-        let done = Done(at.clone());
+        request_phase.set(SERVING);
+        let done = ExchangeGuard(request_phase.clone());
         let entry = served.clone();
         async move { Ok::<_, Infallible>(job::serve(entry, req, done).await) }
     });
     let bounds = bounds(&entry);
     let conn = Builder::new()
-        .max_buf_size(bounds.max_head.max(LEAST_BUFFER))
+        .max_buf_size(bounds.max_head.max(MIN_BUFFER))
         .auto_date_header(false)
         .serve_connection(io, service);
     let mut conn = conn;
@@ -116,42 +117,42 @@
                 tracing::info!(event = "connection broke", cause = %e);
             }
         }
-        Ok(Bound::SlowHead) => slow_head(conn).await,
-        Ok(Bound::Rested) => {}
-        Ok(Bound::Closing) => {
+        Ok(ConnectionEnd::SlowHead) => answer_slow_head(conn).await,
+        Ok(ConnectionEnd::Idle) => {}
+        Ok(ConnectionEnd::Closing) => {
             Pin::new(&mut conn).graceful_shutdown();
-            // What runs is bounded by its own deadline.
+            // Running requests are bounded by their deadlines.
             let _ = conn.await;
         }
     }
 }
 
-/// Tells a caller that its head did not come whole in time.
-async fn slow_head<S>(conn: Connection<FuturesIo<Timed>, S>)
+/// Answers 408 to a caller whose head did not arrive in time.
+async fn answer_slow_head<S>(conn: Connection<FuturesIo<TimedSocket>, S>)
 where
     S: HttpService<Incoming, ResBody = AnswerBody>,
     S::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
     let mut io = conn.into_parts().io.into_inner();
-    let _ = exec::within(LAST_WORDS, io.sock.write_all(SLOW_HEAD)).await;
+    let _ = exec::within(SLOW_HEAD_TIMEOUT, io.sock.write_all(SLOW_HEAD_RESPONSE)).await;
     if logs::allows(Line::Caller) {
         tracing::info!(event = "head too slow");
     }
 }
 
-/// Returns when a bound ends the connection.
-async fn watch(entry: &Inner, phase: &Phase) -> Bound {
+/// Waits until a time-out or shutdown ends the connection.
+async fn watch(entry: &Inner, phase: &Phase) -> ConnectionEnd {
     let closing = async {
-        entry.stop.closing().await;
-        Bound::Closing
+        entry.shutdown.wait_closing().await;
+        ConnectionEnd::Closing
     };
     let bounded = async {
         loop {
             let bounds = bounds(entry);
-            let (at, since) = phase.get();
-            let (limit, bound) = match at {
-                RESTING => (bounds.idle_timeout, Bound::Rested),
-                HEAD => (bounds.head_timeout, Bound::SlowHead),
+            let (stage, since) = phase.get();
+            let (limit, bound) = match stage {
+                IDLE => (bounds.idle_timeout, ConnectionEnd::Idle),
+                HEAD => (bounds.head_timeout, ConnectionEnd::SlowHead),
                 _ => {
                     Timer::after(bounds.idle_timeout.min(bounds.head_timeout)).await;
                     continue;
@@ -160,7 +161,8 @@
             if since.elapsed() >= limit {
                 return bound;
             }
-            // A head may begin while the connection rests, so look again before its bound.
+            // A head may begin while the connection is idle, so the phase is checked
+            // again before the head's time-out.
             let left = limit.saturating_sub(since.elapsed());
             Timer::after(left.min(bounds.head_timeout)).await;
         }
@@ -174,53 +176,53 @@
 
 impl Phase {
     fn new() -> Self {
-        Self { at: AtomicU8::new(RESTING), since: Mutex::new(Instant::now()) }
+        Self { stage: AtomicU8::new(IDLE), since: Mutex::new(Instant::now()) }
     }
 
-    fn set(&self, at: u8) {
+    fn set(&self, stage: u8) {
         *self.since.lock() = Instant::now();
-        self.at.store(at, Ordering::Release);
+        self.stage.store(stage, Ordering::Release);
     }
 
     fn get(&self) -> (u8, Instant) {
-        (self.at.load(Ordering::Acquire), *self.since.lock())
+        (self.stage.load(Ordering::Acquire), *self.since.lock())
     }
 }
 
-/// Marks, when dropped, that the connection rests again.
-pub(super) struct Done(Arc<Phase>);
+/// Marks the connection as idle when dropped.
+pub(super) struct ExchangeGuard(Arc<Phase>);
 
-impl Drop for Done {
+impl Drop for ExchangeGuard {
     fn drop(&mut self) {
-        self.0.set(RESTING);
+        self.0.set(IDLE);
     }
 }
 
 /// Counts a connection while it is open.
-struct Counted(Arc<Inner>);
+struct ConnectionCount(Arc<Inner>);
 
-impl Counted {
+impl ConnectionCount {
     fn new(entry: &Arc<Inner>) -> Self {
-        entry.stop.connections.fetch_add(1, Ordering::AcqRel);
+        entry.shutdown.connections.fetch_add(1, Ordering::AcqRel);
         Self(entry.clone())
     }
 }
 
-impl Drop for Counted {
+impl Drop for ConnectionCount {
     fn drop(&mut self) {
-        let stop: &Stop = &self.0.stop;
-        stop.connections.fetch_sub(1, Ordering::AcqRel);
-        stop.changed.notify(usize::MAX);
+        let shutdown: &Shutdown = &self.0.shutdown;
+        shutdown.connections.fetch_sub(1, Ordering::AcqRel);
+        shutdown.changed.notify(usize::MAX);
     }
 }
 
-/// A socket that notes when a head begins.
-struct Timed {
+/// A socket that records when a head begins.
+struct TimedSocket {
     sock: TcpStream,
     phase: Arc<Phase>,
 }
 
-impl AsyncRead for Timed {
+impl AsyncRead for TimedSocket {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -228,7 +230,7 @@
     ) -> Poll<io::Result<usize>> {
         let read = Pin::new(&mut self.sock).poll_read(cx, buf);
         if let Poll::Ready(Ok(1..)) = read {
-            if self.phase.at.load(Ordering::Acquire) == RESTING {
+            if self.phase.stage.load(Ordering::Acquire) == IDLE {
                 self.phase.set(HEAD);
             }
         }
@@ -236,7 +238,7 @@
     }
 }
 
-impl AsyncWrite for Timed {
+impl AsyncWrite for TimedSocket {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/larkspring/src/direct/entry/view.rs
+++ b/crates/larkspring/src/direct/entry/view.rs
@@ -1,4 +1,4 @@
-//! What is known of an endpoint when a request is placed.
+//! Views of endpoints, the inputs of endpoint selection.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -14,7 +14,7 @@
 use crate::direct::edge::ModelRequest;
 
 impl Job {
-    /// What is known of an endpoint of a plain service.
+    /// Returns the view of an endpoint of a plain service.
     pub(super) fn plain_view(&self, now: Instant, peer: &Arc<Peer>) -> View {
         let endpoint = peer.endpoint();
         let without = self.entry.cfg().without;
@@ -22,25 +22,25 @@
         View {
             same_hall: endpoint.hall == self.entry.cfg().process.hall,
             holding: Holding::Resident,
-            running: peer.open(),
+            running: peer.open_requests(),
             slots: endpoint.slots as u32,
             free_places: 0,
             loads_ahead: 0,
             can_load: false,
             filling: false,
             prompt_tokens: 0,
-            reading: peer.reading(),
+            reading: peer.prefill_tokens(),
             quality: if without.uses(Mechanism::Quality) {
                 quality
             } else {
                 Duration::ZERO
             },
             avoided: peer.quality(|q| q.avoided(now)),
-            rated: peer.is_surely_rated(),
+            rated: peer.has_certain_rate_limit(),
         }
     }
 
-    /// What is known of a model engine, for a request that needs `target`.
+    /// Returns the view of a model engine for a request that needs `target`.
     pub(super) fn engine_view(
         &self,
         now: Instant,
@@ -56,7 +56,7 @@
         let known = link.view();
         let endpoint = peer.endpoint();
         view.running = view.running.max(known.running);
-        view.free_places = known.free_places;
+        view.free_places = known.free_slots;
         view.loads_ahead = known.loads_ahead;
         let without = self.entry.cfg().without;
         if without.uses(Mechanism::UnreadTold) {
@@ -73,44 +73,44 @@
         view.holding = match link.holding(target) {
             Some(Holding::Copied) if !without.uses(Mechanism::Copies) => Holding::Absent,
             Some(holding) => holding,
-            None if link.is_coming() => Holding::Absent,
+            None if link.is_first_message_pending() => Holding::Absent,
             None => listed(),
         };
         view
     }
 }
 
-/// What a choice of an endpoint was made on, for logs.
+/// The inputs of an endpoint selection, for logs.
 #[derive(Debug, Clone)]
-pub(super) struct Why {
-    /// The endpoint.
+pub(super) struct SelectionInputs {
+    /// The selected endpoint.
     pub endpoint: Incarnation,
-    /// Whether it stands in the entry's hall.
+    /// Whether the endpoint is in the entry's hall.
     pub same_hall: bool,
-    /// Whether it held the adapter, as far as known.
+    /// Whether the endpoint held the adapter, as far as known.
     pub holding: &'static str,
-    /// Requests known to be there.
+    /// Requests known to be open at the endpoint.
     pub running: u32,
-    /// Loads known to be ahead there.
+    /// Adapter loads known to be queued at the endpoint.
     pub loads_ahead: u32,
-    /// Tokens of the prompt that it had probably not read before.
+    /// Tokens of the prompt that were probably not in the endpoint's cache.
     pub unread_tokens: u32,
-    /// Tokens of other prompts that were known to be unread there.
-    pub reading_tokens: u32,
-    /// Adapters that it could take in without waiting, as far as known.
-    pub free_places: u32,
-    /// Endpoints that held the adapter, as far as known.
+    /// The endpoint's known prefill backlog from other requests, in tokens.
+    pub backlog_tokens: u32,
+    /// Free adapter slots, as far as known.
+    pub free_slots: u32,
+    /// Number of endpoints that held the adapter, as far as known.
     pub holders: usize,
-    /// What recent failures of the endpoint counted in the choice.
+    /// The cost of the endpoint's recent failures in the selection.
     pub quality: Duration,
-    /// Endpoints that could be chosen from.
-    pub of: usize,
-    /// Those among them that no connection came up to.
+    /// Number of candidates.
+    pub candidates: usize,
+    /// Number of candidates to be avoided, such as those that could not be connected to.
     pub avoided: usize,
 }
 
-impl Why {
-    /// Notes what the choice of `views[at]` was made on.
+impl SelectionInputs {
+    /// Records the inputs of the selection of `views[at]`.
     pub fn new(peer: &Peer, views: &[View], at: usize) -> Self {
         let view = &views[at];
         Self {
@@ -120,17 +120,17 @@
             running: view.running,
             loads_ahead: view.loads_ahead,
             unread_tokens: view.prompt_tokens,
-            reading_tokens: view.reading,
-            free_places: view.free_places,
+            backlog_tokens: view.reading,
+            free_slots: view.free_places,
             holders: views.iter().filter(|v| v.holding == Holding::Resident).count(),
             quality: view.quality,
-            of: views.len(),
+            candidates: views.len(),
             avoided: views.iter().filter(|v| v.avoided).count(),
         }
     }
 }
 
-/// Returns the word for a holding used in logs and metrics.
+/// Returns the name of a holding in logs and metrics.
 pub(super) fn holding_name(holding: Option<Holding>) -> &'static str {
     match holding {
         Some(Holding::Resident) => "resident",
