--- a/crates/larkspring/src/direct/agent/driver.rs
+++ b/crates/larkspring/src/direct/agent/driver.rs
@@ -1,4 +1,4 @@
-//! Calls to the engine beside the agent, one at a time on a kept connection.
+//! Calls to the engine beside the agent, one at a time on a persistent connection.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,18 +19,18 @@
 use crate::direct::unknown::Place;
 use crate::exec::{self, within};
 
-/// What the driver is asked to do.
+/// A command for the driver.
 #[derive(Debug)]
 pub(super) enum Command {
-    /// Ask for the report.
+    /// Requests the engine's report.
     Report,
-    /// Ask for the run at a path.
+    /// Requests the run's name, at a health path.
     Identify(String),
-    /// Give an order.
+    /// Sends an order.
     Order(Order),
 }
 
-/// What came of a command; the text says why there is no answer.
+/// The result of a command; the error text says why there is no answer.
 #[derive(Debug)]
 pub(super) enum Driven {
     Report(Result<Report, String>),
@@ -38,15 +38,16 @@
     Order(Order, Result<OrderEnd, String>),
 }
 
-/// Time for the answer to a report or an order. The engine is on the same VM and answers
-/// within 1 to 3 ms; a busy VM takes ten times as long. Nothing else is ordered meanwhile,
-/// so a lost answer holds up all other loads for this time: of 11,000 orders 547 were not
-/// answered while each was waited for 250 ms, and single loads waited 1.6 s behind them.
+/// Time limit for the answer to a report request or an order. The engine is on the same
+/// VM and answers within 1 to 3 ms; a busy VM takes ten times as long. No other order is
+/// sent meanwhile, so a lost answer delays all other loads by this time: with a fixed
+/// limit of 250 ms, 547 of 11,000 orders were not answered, and single loads waited 1.6 s
+/// behind them.
 const ANSWER: CallBounds =
     CallBounds { least: Duration::from_millis(30), most: Duration::from_millis(250) };
-/// Time for the engine to tell its run: that waits for a place in its batch.
+/// Time limit for the health check: its answer waits for a batch slot in the engine.
 const IDENTIFY: Duration = Duration::from_millis(250);
-/// Bytes of a report.
+/// Limits the size of a report in bytes.
 const MAX_REPORT: usize = 1024 * 1024;
 
 struct Driver {
@@ -56,8 +57,8 @@
     conn: Option<Conn>,
     time: CallTime,
     events: Sender<Event>,
-    /// The kind of call whose answer named a rate last: silence of other answers may be no
-    /// word of the engine.
+    /// The kind of call whose answer last advertised a rate: answers of other kinds may
+    /// never state a rate, so their lack of one does not end the limit.
     rate_named_by: Option<Call>,
 }
 
@@ -69,7 +70,7 @@
     Order,
 }
 
-/// Starts the driver of an engine; it ends with the returned sender.
+/// Starts the driver of an engine; the driver ends when the returned sender is dropped.
 pub(super) fn start(
     engine: SocketAddr,
     protocol: Arc<dyn Protocol>,
@@ -107,10 +108,10 @@
     }
 
     async fn identify(&mut self, path: &str) -> Result<Incarnation, String> {
-        let req = self.protocol.health(path).ok_or("the health path can't be read")?;
+        let req = self.protocol.health(path).ok_or("the health path is not valid")?;
         let res = self.call(Call::Health, req, IDENTIFY).await?;
         let run = self.protocol.read_health(&res);
-        run.ok_or_else(|| format!("answered {} without its run", res.status()))
+        run.ok_or_else(|| format!("answered {} without a run name", res.status()))
     }
 
     async fn order(&mut self, order: &Order) -> Result<OrderEnd, String> {
@@ -118,7 +119,7 @@
         Ok(self.protocol.read_order(&res))
     }
 
-    /// Calls the engine for as long as its answers usually take.
+    /// Calls the engine with the time limit that its recent answers call for.
     async fn timed(
         &mut self,
         kind: Call,
@@ -133,7 +134,7 @@
         res
     }
 
-    /// Calls the engine; a connection that brought no answer is closed.
+    /// Calls the engine; closes the connection if there is no answer.
     async fn call(
         &mut self,
         kind: Call,
@@ -157,7 +158,7 @@
         Ok(res)
     }
 
-    /// Tells the keeper what an answer says of the engine.
+    /// Sends the notice from an answer's headers to the keeper.
     fn notice(&mut self, kind: Call, asked: Instant, res: &Response<Bytes>) {
         let unknown = self.protocol.unknown_words(res.headers());
         self.stats.unknown_words(Place::Answer, &unknown);
@@ -175,7 +176,7 @@
     }
 }
 
-/// Returns a kept connection, unless the engine has closed it.
+/// Returns the idle connection, unless the engine has closed it.
 async fn kept(conn: Option<Conn>) -> Option<Conn> {
     let mut conn = conn?;
     let ready = poll_fn(|cx| std::task::Poll::Ready(conn.is_ready(cx))).await;
--- a/crates/larkspring/src/direct/agent/keeper.rs
+++ b/crates/larkspring/src/direct/agent/keeper.rs
@@ -1,4 +1,5 @@
-//! The state of an engine's adapters and of the holds on them, owned by one task.
+//! The state of an engine's adapters and of the entries' holds on them, owned by one
+//! task.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -33,26 +34,27 @@
 use crate::direct::quarantine::{read_end, Findings};
 use crate::direct::stats::Stats;
 
-/// Number of an entry's connection in this agent's life.
+/// Number of an entry's connection, unique during this agent's life.
 pub(super) type EntryNumber = u64;
 
-/// What the keeper is told.
+/// An input of the keeper.
 #[derive(Debug)]
 pub(super) enum Event {
     EntryUp(EntryNumber, Sender<wire::FromAgent>),
     EntrySaid(EntryNumber, Said),
     EntryDown(EntryNumber),
     Driven(Driven),
-    /// An answer of the engine said something of it, before what it answers is told.
+    /// A notice from the headers of an engine's answer; sent ahead of the answer's own
+    /// event.
     Noticed {
         asked: Instant,
         notice: Notice,
     },
-    /// Entries are to be told what was found of requests that end endpoints.
+    /// Crash reports to be forwarded to all entries.
     Found(Vec<wire::Finding>),
 }
 
-/// Decides what the engine is told.
+/// Decides which orders the engine gets, and answers the entries.
 pub(super) struct Keeper {
     pub(super) holder: String,
     pub(super) slots: Slots,
@@ -61,30 +63,33 @@
     pub(super) entries: HashMap<EntryNumber, Follower>,
     holds: HashMap<(EntryNumber, u64), AttemptId>,
     asked_by: HashMap<AttemptId, (EntryNumber, u64)>,
-    /// What waits for its adapter.
+    /// Requests that wait for their adapter.
     asked: HashMap<AttemptId, Asked>,
     /// Granted requests by hall and adapter.
     demand: Demand<(HallId, TargetHash)>,
     hall: HallId,
     next_attempt: AttemptId,
-    /// What the engine may hold, by the highest version of the routing that was told.
+    /// The adapters and base models that the engine may hold, by the highest routing
+    /// version that an entry sent.
     pub(super) declared: wire::Engine,
     pub(super) engine: Engine,
-    /// Changes that are decided and not ordered yet.
+    /// Changes that are decided but not ordered yet.
     pub(super) todo: VecDeque<Change>,
-    /// Whether the driver works on a command.
+    /// Whether the driver is executing a command.
     pub(super) driving: bool,
     pub(super) report_at: Instant,
     pub(super) told: Told,
-    /// Prompt tokens of the granted requests that are still to be read.
+    /// Prefill backlog: prompt tokens of the granted requests that the engine has not
+    /// processed yet.
     pub(super) unread: Unread,
-    /// Limits of the workspaces whose entries ask this agent.
+    /// Buckets of the workspaces that this agent owns.
     limits: Home,
-    /// Permits of the runs whose entries ask this agent.
+    /// Permits for the runs of which this agent is the issuer.
     pub(super) permits: Permits,
-    /// What is known of requests that end endpoints.
+    /// Crash reports known to this agent.
     findings: Arc<Findings>,
-    /// Requests that ran before this agent's life, with adapters not reported yet.
+    /// Requests that were running before this agent started, on adapters that the engine
+    /// has not reported yet.
     pub(super) in_use: Vec<(AttemptId, Target)>,
 }
 
@@ -94,27 +99,27 @@
     adapter: TargetHash,
 }
 
-/// An entry that follows.
+/// A connected entry.
 pub(super) struct Follower {
     tx: Sender<wire::FromAgent>,
     pub(super) hall: HallId,
-    /// Whether it was not told the whole state yet.
+    /// Whether the entry has not received the whole state yet.
     pub(super) is_new: bool,
 }
 
-/// Reports in a row without an answer after which the engine counts as failed.
+/// Consecutive unanswered report requests after which the engine counts as failed.
 pub(super) const MAX_FAILURES: u32 = 2;
-/// Messages that an entry may leave untaken before it is cut off.
+/// Limits the queued messages of an entry; its connection is closed beyond that.
 const MAX_UNTAKEN: usize = 1024;
-/// Adapter loads that an engine takes at a time.
+/// Limits the adapter loads in progress at an engine.
 const MAX_LOADING: usize = 4;
-/// Requests that may wait for adapters.
+/// Limits the requests that wait for adapters.
 const MAX_WAITING: usize = 1024;
-/// Wait after which a request may stop new use of a busy adapter to get its place.
+/// Wait after which a request may block new use of a busy adapter to free its slot.
 const PATIENCE: Duration = Duration::from_millis(150);
 
 impl Keeper {
-    /// Creates the keeper of an engine that nothing is known of.
+    /// Creates the keeper of an engine whose state is unknown.
     pub fn new(
         cfg: &AgentCfg,
         commands: Sender<Command>,
@@ -168,7 +173,7 @@
         }
     }
 
-    /// Works for ever.
+    /// Handles events until the channel is closed.
     pub async fn run(mut self, events: Receiver<Event>) {
         loop {
             let wake = self.wake_at();
@@ -260,7 +265,7 @@
         }
     }
 
-    /// Tells all entries what was found of requests that end endpoints.
+    /// Forwards crash reports to all entries.
     fn found(&mut self, findings: Vec<wire::Finding>) {
         if findings.is_empty() {
             return;
@@ -272,7 +277,7 @@
         }
     }
 
-    /// Answers an entry as the home of limits.
+    /// Answers a request for units, as the bucket owner.
     fn reserve(&mut self, now: Instant, number: EntryNumber, asked: &wire::Reserve) {
         let wants: Vec<_> = asked.wants.iter().map(read_want).collect();
         let told = presence::Told {
@@ -287,7 +292,7 @@
         }
     }
 
-    /// Answers an entry as the home of a run that takes a limited rate.
+    /// Answers a request for a permit, as the permit issuer of a rate-limited run.
     fn permit(&mut self, now: Instant, number: EntryNumber, asked: &wire::PermitAsk) {
         let ask = permits::Ask {
             run: asked.run,
@@ -348,13 +353,13 @@
         }
         let keys: Vec<_> =
             self.holds.keys().filter(|(n, _)| *n == number).copied().collect();
-        logs::dependency(&format!("entry connection {number}"), false, "it ended");
+        logs::dependency(&format!("entry connection {number}"), false, "closed");
         for key in keys {
             self.release(now, key);
         }
     }
 
-    /// Carries out what the slots decide, except for orders, which wait for the driver.
+    /// Carries out the actions of the slots; loads and unloads are queued for the driver.
     fn schedule(&mut self, now: Instant) {
         for action in self.slots.schedule(now) {
             match action {
@@ -374,11 +379,11 @@
         self.say(number, Say::Granted(wire::Granted { id: hold, copy_pays }));
     }
 
-    /// Counts a request; whether its hall should hold the adapter too.
+    /// Counts a request and returns whether its hall should hold the adapter too.
     ///
-    /// An agent sees all requests for what it holds. An entry sees one in as many as there
-    /// are entries in its hall, and of 13 entries each would take a single request for
-    /// thirteen.
+    /// An agent sees all requests for the adapters that it holds. An entry sees only its
+    /// share of its hall's requests: with 13 entries, each would have to count a single
+    /// request as thirteen.
     fn copy_pays(
         &mut self,
         now: Instant,
@@ -415,7 +420,8 @@
         );
     }
 
-    /// Sends a message; an entry that does not take its messages is cut off.
+    /// Sends a message to an entry; closes the connection if the entry's queue is too
+    /// long.
     pub(super) fn say(&mut self, number: EntryNumber, kind: Say) {
         let Some(entry) = self.entries.get(&number) else { return };
         let sent = entry.tx.try_send(wire::FromAgent { kind: Some(kind) });
--- a/crates/larkspring/src/direct/agent/lasting.rs
+++ b/crates/larkspring/src/direct/agent/lasting.rs
@@ -1,13 +1,16 @@
-//! Quarantined contents that outlive all processes, in the platform's store.
+//! Keeps quarantined request fingerprints in the platform's store, where they survive a
+//! restart of all processes.
 //!
-//! Without them a loss of all processes would cost three more endpoints for each content. The
-//! store is read once at the start; it is written once for each content, and read again only
-//! while there are any, so that an operator lifts one by removing its object, and forbids
-//! another by making one.
+//! Otherwise a loss of all processes would cost three more endpoints for each
+//! fingerprint. The store is read once at the start. Each fingerprint is written once.
+//! The store is read again only while this agent has stored fingerprints, so that an
+//! operator can lift a quarantine by removing its object, and impose one by creating an
+//! object.
 //!
-//! Several agents may count one content, and each stores it when it comes to that. So what an
-//! operator lifts is noted beside it, and an agent that has not taken the note in counted
-//! before it: that is cleared, and not stored.
+//! Several agents may count crashes of the same fingerprint, and each of them stores it
+//! once its count reaches the limit. So a lift by an operator is recorded beside the
+//! object. An agent that has not applied that record yet counted its crashes before the
+//! lift: the count is cleared, and the fingerprint is not stored.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -24,33 +27,35 @@
 use crate::direct::quarantine::Findings;
 use crate::platform::PlatformError;
 
-/// What this agent knows to lie in the store.
+/// The stored fingerprints and lifts as this agent knows them.
 struct Lasting {
     store: Arc<dyn QuarantineStore>,
     findings: Arc<Findings>,
     events: Sender<Event>,
     stored: BTreeSet<ContentHash>,
-    /// The store's history in which they were stored.
+    /// The store's epoch in which the fingerprints were stored.
     epoch: StoreEpoch,
-    /// What operators lifted, and since when this agent knows.
+    /// Fingerprints that operators lifted, with the time at which this agent learned of
+    /// each lift.
     lifted: BTreeMap<ContentHash, Instant>,
     listed_at: Instant,
 }
 
-/// How often it is looked whether something has to be written or removed.
+/// Interval at which pending writes and removals are carried out.
 const LOOK_EVERY: Duration = Duration::from_millis(500);
-/// How often the store is read for what an operator lifted, while there is anything.
+/// Interval at which the store is read for lifts by operators, while this agent has
+/// stored fingerprints.
 const LIST_EVERY: Duration = Duration::from_secs(30);
-/// Pause after a call that failed.
+/// Pause after a failed call.
 const FAILURE_PAUSE: Duration = Duration::from_secs(2);
-/// How long it is noted that a content was lifted: what another process counted before is
-/// forgotten by then.
+/// Time for which the record of a lift is kept: crash counts of other processes from
+/// before the lift have expired by then.
 const LIFT_KEPT: Duration = Duration::from_secs(3600);
-/// Contents that one agent keeps in the store, so that a caller with ever new fatal requests
-/// does not fill it.
+/// Limits the fingerprints that one agent stores, so that a caller with ever new fatal
+/// requests does not fill the store.
 const MAX_STORED: usize = 512;
 
-/// Keeps the store and the findings in step, for ever.
+/// Synchronises the store with the crash reports, without end.
 pub(super) async fn run(
     store: Arc<dyn QuarantineStore>,
     findings: Arc<Findings>,
@@ -79,7 +84,7 @@
 }
 
 impl Lasting {
-    /// Takes in what the store holds at the agent's start.
+    /// Applies the store's contents at the agent's start.
     async fn begin(&mut self) -> Result<(), PlatformError> {
         let listed = self.store.list().await?;
         self.epoch = self.store.epoch();
@@ -124,12 +129,14 @@
         Ok(())
     }
 
-    /// Whether the store was restored from a copy that may lack what this agent stored.
+    /// Whether the store was restored from a backup that may lack fingerprints stored by
+    /// this agent.
     fn is_restored(&self) -> bool {
         self.store.epoch() != self.epoch
     }
 
-    /// Notes again what was lifted; what is refused follows as if it had not been stored.
+    /// Records all lifts again. The quarantined fingerprints are no longer marked as
+    /// stored, so the next steps store them again.
     async fn store_again(&mut self) -> Result<(), PlatformError> {
         let epoch = self.store.epoch();
         for content in self.lifted.keys() {
@@ -140,11 +147,11 @@
         Ok(())
     }
 
-    /// Stores a content that is refused, unless an operator has lifted it since it was
-    /// counted.
+    /// Stores a quarantined fingerprint, unless an operator has lifted it since its
+    /// crashes were counted.
     async fn keep(&mut self, content: ContentHash) -> Result<(), PlatformError> {
         if self.lifted.contains_key(&content) {
-            // It ended endpoints again after it was lifted.
+            // Crashes were counted again after the lift.
             self.store.forget_lift(content).await?;
             self.lifted.remove(&content);
         }
@@ -154,11 +161,11 @@
         }
         self.store.add(content).await?;
         self.stored.insert(content);
-        // One that was lifted in between is removed again.
+        // A fingerprint that was lifted in the meantime is removed again.
         self.take_in_lifts().await
     }
 
-    /// Takes in what operators lifted: what was counted before is not held against it.
+    /// Applies lifts by operators: crashes counted before a lift no longer count.
     async fn take_in_lifts(&mut self) -> Result<(), PlatformError> {
         for content in self.store.lifted().await? {
             if self.lifted.contains_key(&content) {
@@ -193,7 +200,7 @@
 
     async fn tell(&self, news: Vec<wire::Finding>) {
         if !news.is_empty() {
-            // The keeper is gone only if the whole process ends.
+            // The keeper ends only with the whole process.
             let _ = self.events.send(Event::Found(news)).await;
         }
     }
--- a/crates/larkspring/src/direct/agent/mod.rs
+++ b/crates/larkspring/src/direct/agent/mod.rs
@@ -1,12 +1,14 @@
-//! The agent beside a model engine: it has adapters loaded and kept for the entries.
+//! The agent beside a model engine: loads adapters for the entries and keeps them
+//! resident.
 //!
-//! 1. [`serve`]: entries follow the agent, each on one connection.
-//! 2. [`keeper`]: decides with `core::slots` what is loaded; one task owns the state.
-//! 3. [`orders`]: what the engine reports, and the orders that follow.
-//! 4. [`tell`]: what the entries are told of it.
-//! 5. [`driver`]: asks the engine for its report and gives it orders, one at a time.
-//! 6. [`state`]: the declared state, read once for the entries of the hall.
-//! 7. [`lasting`]: requests that end endpoints, kept in the platform's store.
+//! 1. [`serve`]: accepts entries, each on one connection.
+//! 2. [`keeper`]: decides with `core::slots` which adapters are loaded; one task owns the
+//!    state.
+//! 3. [`orders`]: applies the engine's reports and issues the orders that follow.
+//! 4. [`tell`]: publishes the engine's state to the entries.
+//! 5. [`driver`]: requests the engine's reports and sends it orders, one at a time.
+//! 6. [`state`]: reads the declared state once for all entries of the hall.
+//! 7. [`lasting`]: keeps quarantined request fingerprints in the platform's store.
 
 mod driver;
 mod keeper;
@@ -37,13 +39,13 @@
 
 /// A running agent.
 pub struct Agent {
-    /// The address for entries.
+    /// The address at which entries connect.
     pub addr: SocketAddr,
     stopper: Stopper,
     _tasks: Vec<Task<()>>,
 }
 
-/// Time for connections of entries to end; entries go on without the agent.
+/// Time allowed for entries' connections to close; entries continue without the agent.
 const STOP_GRACE: Duration = Duration::from_millis(200);
 
 impl Agent {
@@ -90,7 +92,7 @@
         Ok(Self { addr, stopper, _tasks: tasks })
     }
 
-    /// Stops. The engine goes on with what it holds.
+    /// Stops the agent. The engine keeps the adapters that it holds.
     pub async fn stop(self) {
         tracing::info!(event = "stop", process = "agent");
         self.stopper.stop(STOP_GRACE).await;
--- a/crates/larkspring/src/direct/agent/orders.rs
+++ b/crates/larkspring/src/direct/agent/orders.rs
@@ -1,4 +1,4 @@
-//! What the engine reports, and the orders that follow.
+//! Applies the engine's reports and issues the orders that follow.
 
 use std::time::{Duration, Instant};
 
@@ -12,60 +12,63 @@
 use crate::direct::logs::{self, Line};
 use crate::direct::unknown::Place;
 
-/// What is known of the engine.
+/// The engine's state as this agent knows it.
 #[derive(Default)]
 pub(super) struct Engine {
     pub(super) run: Option<Incarnation>,
-    /// Number of runs that this agent saw; names a run until it names itself.
+    /// Number of runs seen by this agent; identifies a run until the run reports its
+    /// name.
     pub(super) runs: u64,
-    /// The name that the run gave itself. Orders for adapters carry it, so that one which
-    /// is carried out late never reaches another run.
+    /// The name that the run reported. Orders for adapters carry this name, so that an
+    /// order that is carried out late never reaches another run.
     pub(super) named: Option<Incarnation>,
-    /// When the run is asked for its name again, if it gave none.
+    /// When the run's name is requested again, if the last answer held none.
     pub(super) ask_name_at: Option<Instant>,
-    /// What the run said of whether it wants requests.
+    /// Backoff, draining and advertised rate, by the run's notices.
     pub(super) said: Availability,
     pub(super) report: Report,
-    /// Reports in a row that did not come.
+    /// Consecutive report requests that failed.
     pub(super) failures: u32,
     /// When the latest load was ordered.
     pub(super) load_ordered: Option<Instant>,
     /// The latest order, for logs.
     pub(super) last_order: Option<(Instant, Change)>,
-    /// The adapter of a load whose order got no answer: it may have been taken, or be taken
-    /// late, until the engine takes another order.
+    /// The adapter of a load order without an answer: the engine may have accepted the
+    /// order, or may accept it late, until the engine accepts another order.
     pub(super) unclear: Option<Target>,
-    /// When the latest order got no answer.
+    /// When an order was last left without an answer.
     unanswered: Option<Instant>,
-    /// What the run before called itself.
+    /// The name of the previous run.
     former: Option<Incarnation>,
-    /// Until when an order to the run before may reach this one, which has the same name.
+    /// Until when an order to the previous run may reach this run, which has the same
+    /// name.
     late_until: Option<Instant>,
 }
 
-/// How often the engine is asked for its report: a failed engine is to be noticed well
-/// before a caller's objective of 600 ms.
+/// Report interval: a failed engine has to be noticed well before a caller's objective of
+/// 600 ms.
 const REPORT_EVERY: Duration = Duration::from_millis(100);
-/// The same while an adapter that the engine held lately is on its way (about 27 ms).
+/// Report interval while an adapter is loading that the engine held lately (about 27 ms).
 const REPORT_SOON: Duration = Duration::from_millis(10);
-/// How long after an order reports are asked for at that pace.
+/// Time after a load order in which [`REPORT_SOON`] applies.
 const SOON_FOR: Duration = Duration::from_millis(60);
-/// The same while an adapter comes from the weight store (250 ms and more).
+/// Report interval while an adapter is fetched from the weight store (250 ms and more).
 const REPORT_LOADING: Duration = Duration::from_millis(25);
-/// Pause before an engine that did not tell its run is asked again: its health check waits
-/// for a place in the batch and is charged.
+/// Delay before the name of a run is requested again: the engine's health check waits for
+/// a batch slot and is charged.
 const ASK_NAME_AGAIN: Duration = Duration::from_millis(300);
 
-/// How long after it was given an order without an answer may be carried out: the platform's
+/// Time after which an order without an answer is no longer carried out: the platform's
 /// operators state up to 12 s.
 const LATE_ORDER: Duration = Duration::from_secs(13);
 
 impl Keeper {
-    /// Puts the number of adapters in force that the engine may hold now.
+    /// Sets the number of adapters that the engine may hold now.
     ///
-    /// An order carries the name of its run and the number of orders taken. A run that came
-    /// back under the name of the one before takes a late order once the number fits, so one
-    /// place is kept free for it; the report then shows what it brought.
+    /// An order carries its run's name and the number of orders taken. A restarted run
+    /// with the name of the previous run accepts a late order as soon as that number
+    /// matches, so one adapter slot is kept free for that order; the report then shows
+    /// which adapter was loaded.
     pub(super) fn put_places(&mut self, now: Instant) {
         let places = self.declared.places as usize;
         let awaits_late = self.engine.late_until.is_some_and(|until| until > now);
@@ -73,9 +76,9 @@
         self.slots.set_places(places - free);
     }
 
-    /// Gives the driver its next command, if it is free.
+    /// Gives the driver its next command, if the driver is idle.
     pub(super) fn drive(&mut self, now: Instant) {
-        // An engine that asked this VM for rest is sent neither orders nor calls for reports.
+        // An engine in backoff gets neither orders nor report requests.
         if self.driving || self.engine.said.rests_for(now).is_some() {
             return;
         }
@@ -83,7 +86,7 @@
         let engine = &self.engine;
         let command = match self.todo.front() {
             _ if self.report_at <= now => Command::Report,
-            // An engine that does not even report is not given orders in a row.
+            // An engine that does not answer report requests gets no series of orders.
             _ if engine.failures > 0 => return,
             Some(Change::Load(_) | Change::Unload(_)) if engine.named.is_none() => {
                 if engine.ask_name_at.is_some_and(|at| at > now) {
@@ -91,7 +94,8 @@
                 }
                 Command::Identify(self.declared.health_path.clone())
             }
-            // Entries know a run by its name, some seconds before the platform lists it.
+            // Entries identify a run by its name, some seconds before the platform lists
+            // the run.
             None if engine.named.is_none() && !engine.report.bases.is_empty() => {
                 let path = &self.declared.health_path;
                 if path.is_empty() || engine.ask_name_at.is_some_and(|at| at > now) {
@@ -110,15 +114,15 @@
         if matches!(command, Command::Order(_)) {
             self.todo.pop_front();
         }
-        // The driver takes one command at a time and is free.
+        // The driver takes one command at a time and is idle.
         self.driving = self.commands.try_send(command).is_ok();
     }
 
-    /// Takes back the next loads while nobody waits for them any more: the fetch would cost
-    /// its price and keep others of the weight store waiting for nothing.
+    /// Cancels the next queued loads that no request waits for: the fetch would be
+    /// charged and would delay other fetches from the weight store.
     ///
-    /// One that may have been taken keeps its place until that is known, as the engine would
-    /// hold one adapter too many with another in its place.
+    /// A load that the engine may have accepted keeps its slot until the outcome is
+    /// known: with another adapter in this slot the engine would hold one too many.
     fn forget_unwanted(&mut self) {
         while let Some(Change::Load(target)) = self.todo.front() {
             let unclear = self.engine.unclear.as_ref() == Some(target);
@@ -130,7 +134,7 @@
         }
     }
 
-    /// Takes in what an answer of the engine says of it.
+    /// Applies a notice from an engine's answer.
     pub(super) fn noticed(&mut self, now: Instant, asked: Instant, notice: Notice) {
         let news = self.engine.said.hear(now, asked, notice, 0.0);
         if news.is_any() {
@@ -153,7 +157,8 @@
             self.permits.told(now, run_hash(run), rate, Duration::ZERO);
         }
         if let Some(left) = self.engine.said.rests_for(now) {
-            // What waits for an adapter goes to other engines; the next report brings it back.
+            // Requests that wait for an adapter go to other engines; the next report
+            // makes this engine available again.
             self.slots.engine_lost();
             self.report_at = now + left;
         }
@@ -196,11 +201,12 @@
         self.report_at = now + self.report_pause(now);
     }
 
-    /// Has the base model loaded into an engine that holds none.
+    /// Orders a base model for an engine that holds none.
     fn load_base(&mut self) {
         let engine = &self.engine.report;
         let declared = self.declared.bases.first().map(|base| base.as_str().into());
-        // What it held before is on its VM; no need to wait for an entry to name it.
+        // A base model that the engine held before has a copy on its VM, so it can be
+        // loaded before an entry sends the declaration.
         let base = match &engine.copied_bases[..] {
             [only] => declared.or_else(|| Some(only.clone())),
             _ => declared,
@@ -215,7 +221,7 @@
 
     pub(super) fn no_report(&mut self, now: Instant, cause: &str) {
         self.stats.report(false);
-        // A refusal that asks for rest is an answer: the engine is there.
+        // A refusal that asks for backoff is an answer, so the engine has not failed.
         if self.engine.said.rests_for(now).is_some() {
             return;
         }
@@ -293,8 +299,9 @@
                 self.report_at = now;
             }
             Ok(OrderEnd::Stale) | Err(_) => {
-                // The report tells whether it was taken; else it is given again, with the
-                // number of orders that rules out the earlier one.
+                // The report shows whether the order was accepted. If not, the order is
+                // sent again, with a number of orders taken that rules out the earlier
+                // order.
                 self.todo.push_front(order.change);
                 self.report_at = now;
             }
@@ -309,7 +316,8 @@
         }
     }
 
-    /// Names the run that a report comes from; a run that took fewer orders is a new one.
+    /// Returns the run that a report comes from; fewer orders taken than before means a
+    /// new run.
     fn run_of(&mut self, report: &Report) -> Incarnation {
         let known = &self.engine.report;
         let counts_on = report.orders_taken >= known.orders_taken;
@@ -343,7 +351,8 @@
         }
     }
 
-    /// Logs what the engine was at when it was lost: requests or an order may have ended it.
+    /// Logs the engine's state when it was lost: requests or an order may have caused the
+    /// crash.
     fn log_lost(&self, now: Instant) {
         let last = self.engine.last_order.as_ref();
         let since = |at: &Instant| now.saturating_duration_since(*at).as_millis() as u64;
@@ -388,7 +397,7 @@
     }
 }
 
-/// Whether the engine's report shows that a change was made, or is being made.
+/// Whether the engine's report shows that a change was made or is in progress.
 fn is_done(change: &Change, report: &Report) -> bool {
     match change {
         Change::LoadBase(base) => report.bases.contains(base),
--- a/crates/larkspring/src/direct/agent/serve.rs
+++ b/crates/larkspring/src/direct/agent/serve.rs
@@ -1,4 +1,4 @@
-//! Entries that follow the agent.
+//! Serves the connections of entries.
 
 use std::pin::Pin;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -58,7 +58,8 @@
     }
 }
 
-/// Messages for one entry; what the entry says is read as long as this is kept.
+/// The messages for one entry; the entry's own messages are read until this value is
+/// dropped.
 struct Following {
     rx: Pin<Box<Receiver<FromAgent>>>,
     _reader: smol::Task<()>,
@@ -75,7 +76,7 @@
     }
 }
 
-/// Tells the keeper, when dropped, that an entry follows no more.
+/// Notifies the keeper, when dropped, that an entry's connection has ended.
 struct Down {
     number: EntryNumber,
     events: Sender<Event>,
@@ -85,7 +86,7 @@
     fn drop(&mut self) {
         let (number, events) = (self.number, self.events.clone());
         exec::spawn(async move {
-            // The keeper is gone only if the whole process ends.
+            // The keeper ends only with the whole process.
             let _ = events.send(Event::EntryDown(number)).await;
         })
         .detach();
--- a/crates/larkspring/src/direct/agent/state.rs
+++ b/crates/larkspring/src/direct/agent/state.rs
@@ -1,9 +1,10 @@
-//! The declared state, read once for the entries of a hall.
+//! Reads the declared state once for all entries of a hall.
 //!
-//! Every entry needs it, and each call to the platform's store is charged: with 68 entries
-//! that asked for themselves it was 3,264 calls on a quiet day, the largest price of all. An
-//! entry asks an agent of its hall instead, which keeps what the store answered, undecoded,
-//! and tells how old it is. The entry asks the store itself as soon as that is too old.
+//! Every entry needs the state, and each call to the platform's store is charged. With 68
+//! entries that read the store themselves there were 3,264 calls on a quiet day, the
+//! largest share of the cost. Instead an entry reads from an agent of its hall, which
+//! keeps the store's answers undecoded and states their age. The entry reads the store
+//! itself as soon as that age is over the bound.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -26,7 +27,7 @@
 use crate::exec::{self, within};
 use crate::platform::PlatformError;
 
-/// What an agent keeps of the declared state.
+/// The declared state kept by an agent.
 pub(super) struct KeptState {
     store: StoreReader,
     stats: Arc<Stats>,
@@ -34,7 +35,7 @@
     kinds: [Feed; Kind::ALL.len()],
 }
 
-/// One kind of items.
+/// The kept state of one kind of items, and its change notification.
 #[derive(Default)]
 struct Feed {
     kept: Mutex<Kept>,
@@ -43,41 +44,42 @@
 
 #[derive(Default)]
 struct Kept {
-    /// The last list, and the changes after it.
+    /// The pages of the last list; `changes` holds the changes after the list.
     pages: Vec<Bytes>,
     listed: StorePoint,
     changes: VecDeque<Change>,
     at: StorePoint,
     /// When the store last answered; `None` before the first list.
     heard: Option<Instant>,
-    /// When the call that it answered then was sent.
+    /// When the call for that answer was sent.
     proved: Option<Moment>,
-    /// Whether everything has to be read anew.
+    /// Whether the whole state has to be read again.
     lists: bool,
-    /// When an entry last asked; the store is read while entries do.
+    /// When an entry last sent a read; the store is read only while entries read.
     asked: Option<Instant>,
     is_read: bool,
 }
 
 struct Change {
-    /// Point that it leads to.
+    /// The point of the store's history after the change.
     to: StorePoint,
     body: Bytes,
 }
 
-/// Pause after a call that failed: entries ask the store themselves meanwhile, and pass an
-/// agent over for 3 s.
+/// Pause after a failed call: entries read the store themselves meanwhile, and do not use
+/// an agent for 3 s.
 const FAILURE_PAUSE: Duration = Duration::from_secs(1);
-/// Least time in which an agent that begins to read answers the first entry.
+/// Minimum wait of an entry's read for the first list, after an agent has begun to read
+/// the store.
 const FIRST_LIST: Duration = Duration::from_millis(60);
-/// Time without a question after which the store is not read any more.
+/// Time without a read by an entry after which the store is no longer read.
 const UNASKED: Duration = Duration::from_secs(5);
-/// Changes that are kept; one a second comes for endpoints. A reader that is further behind
-/// gets everything, and so does the next one after a new list.
+/// Limits the kept changes; endpoints change once a second. A reader that is further
+/// behind gets the whole state, and so does each reader's next read after a new list.
 const MAX_CHANGES: usize = 64;
 
 impl KeptState {
-    /// Creates the state of an agent that nobody has asked.
+    /// Creates the state of an agent that no entry has read from.
     pub fn new(
         directory: Arc<dyn Directory>,
         stats: Arc<Stats>,
@@ -98,7 +100,7 @@
         })
     }
 
-    /// Answers an entry, after waiting for a change for as long as it asks.
+    /// Answers an entry's read; waits for a change as long as the entry requests.
     pub async fn read(self: &Arc<Self>, req: &wire::ReadRequest) -> wire::ReadReply {
         let received = Instant::now();
         let kind = kind_of(req.kind());
@@ -126,7 +128,7 @@
         wire::ReadReply { held_ms, ..reply }
     }
 
-    /// Shows on the metrics how old what is kept of each kind is.
+    /// Writes the age of each kind's state to the metrics.
     pub fn show(&self) {
         for kind in Kind::ALL {
             let proved = self.feed(kind).kept.lock().proved;
@@ -140,7 +142,7 @@
         &self.kinds[kind as usize]
     }
 
-    /// Reads the store for as long as entries ask.
+    /// Reads the store as long as entries read from this agent.
     async fn follow(self: Arc<Self>, kind: Kind) {
         let feed = self.feed(kind);
         loop {
@@ -162,7 +164,7 @@
         }
     }
 
-    /// Keeps what was read; returns the pause before the next read.
+    /// Keeps the result of a read; returns the pause before the next read.
     fn take(&self, kind: Kind, read: Result<Read, PlatformError>) -> Duration {
         let feed = self.feed(kind);
         let state = match read {
@@ -201,7 +203,7 @@
 }
 
 impl Kept {
-    /// Takes in what the store answered; whether anything changed.
+    /// Applies an answer of the store; returns whether anything changed.
     fn take(&mut self, state: State, now: Instant) -> bool {
         self.heard = Some(now);
         self.proved = state.proved;
@@ -218,16 +220,17 @@
         changed
     }
 
-    /// The point that an entry knows; one that names no epoch means the present one.
+    /// The point up to which an entry knows the state; a request without an epoch means
+    /// the present epoch.
     fn known_by(&self, req: &wire::ReadRequest) -> StorePoint {
         StorePoint::new(req.epoch.unwrap_or(self.at.epoch()), req.after)
     }
 
-    /// What an entry gets.
+    /// Builds the reply to an entry's read.
     fn reply(&self, req: &wire::ReadRequest, now: Instant) -> wire::ReadReply {
         let after = self.known_by(req);
         let Some(heard) = self.heard else {
-            // Revision 0 tells that nothing is known.
+            // Revision 0 means that nothing is known.
             return wire::ReadReply::default();
         };
         let whole = after < self.listed;
@@ -240,7 +243,7 @@
             pages: if whole { self.pages.clone() } else { Vec::new() },
             changes: newer.map(|c| c.body.clone()).collect(),
             age_ms: age.as_millis() as u64,
-            // A store that answered without a proof proves nothing.
+            // Without a freshness proof from the store the state counts as never proved.
             proof_age_ms: self
                 .proved
                 .map_or(u64::MAX, |at| at.elapsed().as_millis() as u64 + 1),
--- a/crates/larkspring/src/direct/agent/tell.rs
+++ b/crates/larkspring/src/direct/agent/tell.rs
@@ -1,4 +1,4 @@
-//! What entries are told of the engine.
+//! Publishes the engine's state to the entries.
 
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
@@ -11,50 +11,51 @@
 
 use super::keeper::{Keeper, MAX_FAILURES};
 
-/// What the entries were told last.
+/// The state that was published last.
 pub(super) struct Told {
     pub(super) news: News,
     pub(super) at: Instant,
-    /// Whether there is news that was not told yet.
+    /// Whether there are changes that were not published yet.
     pub(super) due: bool,
-    /// What they believe is still to be read.
+    /// The prefill backlog as the entries estimate it.
     pub(super) unread: Unread,
 }
 
-/// The part of the state that entries are told at once; the rest changes with every
-/// request and goes along.
+/// The part of the state whose changes are published at once; the other fields change
+/// with every request and are sent along.
 #[derive(Default, PartialEq, Eq)]
 pub(super) struct News {
     pub(super) engagement: i32,
     pub(super) resident: HashSet<TargetHash>,
     pub(super) loading: HashSet<TargetHash>,
     pub(super) entries: usize,
-    /// Whether the engine said that it leaves.
+    /// Whether the engine is draining.
     pub(super) leaving: bool,
-    /// The rate that the engine names in its reports.
+    /// The engine's advertised rate limit.
     pub(super) rate: Option<Rate>,
-    /// The run's name, with the number that tells it from one of the same name before it.
+    /// The run's name, and the run's number, which distinguishes it from an earlier run
+    /// of the same name.
     pub(super) run: Option<(Incarnation, u64)>,
 }
 
-/// How often entries are told the state, changed or not.
+/// Interval at which the state is published, changed or not.
 pub(super) const TELL_EVERY: Duration = Duration::from_millis(400);
-/// Least time between two tellings: each goes to every entry, and bytes between halls are
-/// charged.
+/// Minimum interval between two updates: each update goes to every entry, and bytes
+/// between halls are charged.
 pub(super) const TELL_PAUSE: Duration = Duration::from_millis(40);
-/// Unread prompt tokens that entries do not know of and are told at once: they take a
-/// tenth of a second to read, and the entries would send other prompts behind them.
+/// Increase of the prefill backlog that is published at once: so many tokens take a tenth
+/// of a second of prefill, and the entries would place other prompts behind them.
 const LONG_PROMPT: u32 = 4000;
 
 impl Keeper {
-    /// Tells the entries the state, if it changed or now and then.
+    /// Publishes the state to the entries if it changed or if the interval has passed.
     pub(super) fn tell(&mut self, now: Instant) {
         let news = self.news(now);
         let since = now.saturating_duration_since(self.told.at);
         let more = self.unread.at(now).saturating_sub(self.told.unread.at(now));
         self.told.due = self.told.news != news || more >= LONG_PROMPT;
         let pause = match self.told.due {
-            // What is granted next is sent to this run.
+            // Requests that are granted next are sent to this run.
             _ if news.run.is_some() && news.run != self.told.news.run => Duration::ZERO,
             true => TELL_PAUSE,
             false => TELL_EVERY,
@@ -102,7 +103,7 @@
         }
     }
 
-    /// The state as it differs from what was told.
+    /// Returns the state with the differences from an earlier one.
     fn state(&self, now: Instant, news: &News, told: &News) -> wire::State {
         let held = |of: &News, hash: &TargetHash| {
             of.resident.contains(hash) || of.loading.contains(hash)
