--- a/crates/larkspring/src/direct/agent/orders.rs
+++ b/crates/larkspring/src/direct/agent/orders.rs
@@ -48,7 +48,7 @@
 /// Report interval: a failed engine has to be noticed well before a caller's objective of
 /// 600 ms.
 const REPORT_EVERY: Duration = Duration::from_millis(100);
-/// Report interval while an adapter is loading that the engine held lately (about 27 ms).
+/// Report interval while an adapter loads that the engine held recently (about 27 ms).
 const REPORT_SOON: Duration = Duration::from_millis(10);
 /// Time after a load order in which [`REPORT_SOON`] applies.
 const SOON_FOR: Duration = Duration::from_millis(60);
--- a/crates/larkspring/src/direct/beliefs.rs
+++ b/crates/larkspring/src/direct/beliefs.rs
@@ -1,4 +1,5 @@
-//! What a process holds true of the fleet: routing, endpoints and versions.
+//! The replicated state of the fleet as this process knows it: routing, endpoints and
+//! versions.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -16,7 +17,7 @@
 use super::logs::{self, Line};
 use crate::clock::Moment;
 
-/// The state that a process goes by, with its age.
+/// The replicated state, with its age.
 #[derive(Debug)]
 pub struct Beliefs {
     routing: ArcSwapOption<Routing>,
@@ -29,25 +30,25 @@
     store_lost: Event,
 }
 
-/// What shows that the state of a kind is the newest.
+/// The freshness proof of one kind of state.
 #[derive(Debug, Clone, Copy, Default)]
 struct Proof {
     /// A moment at which the store held nothing newer.
     at: Option<Moment>,
-    /// Whether a newer one was read that makes no sense, so that nothing is proved.
+    /// Whether a newer state was read that is invalid, so that nothing is proved.
     in_doubt: bool,
-    /// Whether the store was restored from a copy that lacks what is in force.
+    /// Whether the store was restored from a backup that lacks the routing in force.
     is_behind: bool,
 }
 
 /// Whether the platform's store answers this process.
 #[derive(Debug, Clone, Copy, Default)]
 struct StoreHealth {
-    /// Since when it has not answered.
+    /// Since when the store has been unavailable.
     away_since: Option<Instant>,
-    /// When it last came back.
+    /// When the store last became available again.
     back_at: Option<Instant>,
-    /// When it last answered.
+    /// When the store last answered.
     heard_at: Option<Instant>,
 }
 
@@ -67,19 +68,19 @@
 }
 
 impl Beliefs {
-    /// The routing in force, once known.
+    /// Returns the routing in force, once known.
     pub fn routing(&self) -> Option<Arc<Routing>> {
         self.routing.load_full()
     }
 
-    /// Time since the store is proved to have held nothing newer of a kind; `None` if it
-    /// never was.
+    /// Returns the time since the store is proved to have held nothing newer of a kind;
+    /// `None` without a proof.
     pub fn proof_age(&self, kind: Kind) -> Option<Duration> {
         self.proof(kind).lock().at.map(|at| at.elapsed())
     }
 
-    /// Records that the store held nothing newer of a kind than what was taken in, at a
-    /// moment.
+    /// Records that at a moment the store held nothing newer of a kind than the applied
+    /// state.
     pub fn proved(&self, kind: Kind, at: Moment) {
         let mut proof = self.proof(kind).lock();
         if !proof.in_doubt && !proof.is_behind {
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Records whether the newest routing that was read makes no sense.
+    /// Records whether the newest routing that was read is invalid.
     pub fn routing_in_doubt(&self, in_doubt: bool) {
         self.proof(Kind::Routing).lock().in_doubt = in_doubt;
     }
@@ -96,12 +97,12 @@
         &self.proofs[kind as usize]
     }
 
-    /// The newest versions of adapters.
+    /// Returns the newest versions of adapters.
     pub fn versions(&self) -> Arc<Versions> {
         self.versions.load_full()
     }
 
-    /// Returns once no request may begin on this version of an adapter any more.
+    /// Returns once no request may start on this version of an adapter any more.
     pub async fn outdated(&self, target: &Target) {
         loop {
             let changed = self.changed();
@@ -114,7 +115,7 @@
         }
     }
 
-    /// All endpoints that are not known to be gone.
+    /// Returns all endpoints that are not known to be gone.
     pub fn endpoints(&self) -> Vec<Arc<Endpoint>> {
         self.members.lock().endpoints().cloned().collect()
     }
@@ -124,17 +125,17 @@
         self.changed.listen()
     }
 
-    /// Since when the store has not answered, if it is away.
+    /// Returns since when the store has been unavailable, if it is.
     pub fn store_away_since(&self) -> Option<Instant> {
         self.store.lock().away_since
     }
 
-    /// Notifies when the store answers again.
+    /// Notifies when the store is available again.
     pub fn store_back(&self) -> EventListener {
         self.store_back.listen()
     }
 
-    /// Returns once the store does not answer.
+    /// Returns once the store is unavailable.
     pub async fn store_lost(&self) {
         loop {
             let lost = self.store_lost.listen();
@@ -145,13 +146,14 @@
         }
     }
 
-    /// Takes in all items of a kind.
+    /// Replaces all items of a kind.
     pub fn replace(&self, now: Instant, kind: Kind, listed: Listed) {
         if kind != Kind::Endpoints {
             return self.update(now, listed);
         }
         if self.members.lock().begin_epoch(listed.at) {
-            // What joined since the copy is listed again soon, as after an outage.
+            // Endpoints that joined after the backup are listed again soon, as after an
+            // outage.
             self.store.lock().back_at = Some(now);
         }
         let keep_until = self.keep_until(now);
@@ -168,7 +170,7 @@
         self.changed.notify(usize::MAX);
     }
 
-    /// Takes in changed items.
+    /// Applies changed items.
     pub fn update(&self, now: Instant, changes: Listed) {
         if changes.items.is_empty() {
             return;
@@ -179,7 +181,8 @@
         self.changed.notify(usize::MAX);
     }
 
-    /// Forgets endpoints whose time ran out; returns when to look again.
+    /// Removes endpoints whose grace period has expired; returns the time of the next
+    /// expiry.
     pub fn expire(&self, now: Instant) -> Option<Instant> {
         let mut members = self.members.lock();
         if members.expire(now) {
@@ -188,7 +191,7 @@
         members.next_expiry()
     }
 
-    /// Records that a call to the store got no answer.
+    /// Records that a call to the store failed.
     pub fn store_failed(&self, now: Instant, cause: &str) {
         let mut store = self.store.lock();
         if store.away_since.is_none() {
@@ -198,7 +201,7 @@
         }
     }
 
-    /// Time since the store last answered; `None` if it never did.
+    /// Returns the time since the store last answered; `None` before its first answer.
     pub fn store_age(&self) -> Option<Duration> {
         self.store.lock().heard_at.map(|at| at.elapsed())
     }
@@ -214,7 +217,8 @@
         }
     }
 
-    /// Until when an endpoint that is missing now is kept; `None` if it is gone at once.
+    /// Returns until when an endpoint that is no longer listed is kept; `None` if it is
+    /// removed at once.
     fn keep_until(&self, now: Instant) -> Option<Instant> {
         let store = *self.store.lock();
         if store.away_since.is_some() {
@@ -250,7 +254,8 @@
             }
             Item::Version(adapter, number) => {
                 let mut versions = Versions::clone(&self.versions.load());
-                // It was named after the store last held nothing newer.
+                // The version was named after the last proof that the store held nothing
+                // newer.
                 let age = self.proof_age(Kind::Versions).unwrap_or_default();
                 let since = now.checked_sub(age).unwrap_or(now);
                 if versions.name(now, since, &adapter, number) {
@@ -266,7 +271,7 @@
             }
             Item::Unreadable { kind, name, cause } => {
                 if kind == Kind::Endpoints {
-                    // Whatever wrote over it: nothing says any more where it can be reached.
+                    // The endpoint's object was overwritten, so its address is unknown.
                     self.members.lock().remove(&name.as_str().into(), None);
                 }
                 if logs::allows(Line::Belief) {
--- a/crates/larkspring/src/direct/cfg.rs
+++ b/crates/larkspring/src/direct/cfg.rs
@@ -1,6 +1,6 @@
-//! Checked settings of the processes that send straight to endpoints.
+//! Validated settings of the processes that send requests directly to endpoints.
 //!
-//! An adapter for a platform fills them in from the platform's own settings.
+//! An adapter for a platform derives them from the platform's own settings.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -14,46 +14,48 @@
 
 use super::edge::Kind;
 
-/// What every process knows of itself.
+/// Settings that every process has.
 #[derive(Debug, Clone)]
 pub struct ProcessCfg {
-    /// VM that it runs on.
+    /// VM that the process runs on.
     pub vm: VmId,
-    /// Its hall (failure domain).
+    /// Hall (failure domain) of the process.
     pub hall: HallId,
     /// Address of the VM.
     pub ip: IpAddr,
-    /// Port at which agents take entries, the same on all VMs.
+    /// Port at which agents accept entries, the same on all VMs.
     pub agent_port: u16,
-    /// Where metrics are served.
+    /// Address at which metrics are served.
     pub metrics: SocketAddr,
     /// Time from the signal to stop until the process is killed.
     pub stop_grace: Duration,
-    /// Time within which a leaving endpoint has to be passed over.
+    /// Time within which a draining endpoint has to get no more requests.
     pub drain: Duration,
     /// Time within which a declared routing has to be in force.
     pub in_force: Duration,
-    /// Time within which requests have to begin on a newly named version of an adapter.
+    /// Time within which requests have to start on a newly named version of an adapter.
     pub replaced: Duration,
-    /// Time within which a key that was taken away is refused, whether the store can be
-    /// heard or not; `None` if that is not asked for.
+    /// Time within which a revoked key is refused, whether the store is available or not;
+    /// `None` for no such bound.
     pub revocation: Option<Duration>,
-    /// What is allowed beyond the limits of workspaces.
+    /// Window of the workspaces' limits, and the excess that is allowed.
     pub limits: LimitTerms,
 }
 
-/// Part of the time to a revocation for which a view of the keys is trusted. The rest
-/// covers a store whose watches stay silent for a second while its state changes.
+/// Fraction of the revocation time for which a copy of the keys is trusted. The rest
+/// covers a store whose watches stay unresponsive for a second while its state changes.
 const TRUSTED_PART: f64 = 0.78;
-/// Part of that time for which a read of the routing waits for a change: two reads in a row
-/// and an entry's own pause have to fit into half of it.
+/// Fraction of the trusted time for which a read of the routing waits for a change: two
+/// consecutive reads and an entry's own pause have to fit into half of the trusted time.
 const READ_PART: f64 = 0.2;
-/// Part of the time to a new version's use in which it becomes known. The rest is left for
-/// loading it and for requests that still wait to begin on the one before.
+/// Fraction of [`ProcessCfg::replaced`] within which a new version becomes known. The
+/// rest is left for loading it and for requests that still wait to start on the previous
+/// version.
 const KNOWN_PART: f64 = 0.8;
 
 impl ProcessCfg {
-    /// Time within which a change of a kind of declared state has to be known to entries.
+    /// Returns the time within which entries have to know a change of a kind of declared
+    /// state.
     pub fn bound(&self, kind: Kind) -> Duration {
         match kind {
             Kind::Routing => self.in_force,
@@ -62,7 +64,7 @@
         }
     }
 
-    /// Whether reads of a kind wait for a change, or find one each time.
+    /// Returns whether reads of a kind wait for a change, or find a change each time.
     pub fn changes(kind: Kind) -> Changes {
         match kind {
             Kind::Routing | Kind::Versions => Changes::Seldom,
@@ -70,13 +72,14 @@
         }
     }
 
-    /// Oldest view of the keys by which requests are served; `None` for any.
+    /// Returns the greatest age of the keys at which requests are served; `None` for any
+    /// age.
     pub fn trusted(&self) -> Option<Duration> {
         self.revocation.map(|bound| bound.mul_f64(TRUSTED_PART))
     }
 
-    /// How long a read of the routing waits for a change at most; `None` for as long as it
-    /// suits other needs.
+    /// Returns the longest time for which a read of the routing waits for a change;
+    /// `None` if only other needs limit it.
     pub fn routing_wait(&self) -> Option<Duration> {
         self.trusted().map(|trusted| trusted.mul_f64(READ_PART))
     }
@@ -85,34 +88,34 @@
 /// Settings of an entry.
 #[derive(Debug, Clone)]
 pub struct EntryCfg {
-    /// What every process knows.
+    /// Settings that every process has.
     pub process: ProcessCfg,
-    /// Address for callers.
+    /// Address at which callers connect.
     pub listen: SocketAddr,
-    /// Address at which the platform asks whether the entry is ready.
+    /// Address at which the platform checks whether the entry is ready.
     pub readiness: SocketAddr,
-    /// Connections of callers at a time.
+    /// Limits the simultaneous connections of callers.
     pub max_connections: usize,
-    /// Bytes of request bodies that are kept for another attempt, in all.
+    /// Limits the bytes of all request bodies that are kept for another attempt.
     pub max_kept_bytes: usize,
-    /// The shared budget of repeats.
+    /// Terms of the shared retry budget.
     pub repeats: RepeatTerms,
-    /// How requests are placed.
+    /// How endpoints are selected for requests.
     pub placement: Placement,
-    /// What is switched off, in a measurement.
+    /// Mechanisms that are switched off, for a measurement.
     pub without: Without,
 }
 
 /// Settings of an agent.
 #[derive(Debug, Clone)]
 pub struct AgentCfg {
-    /// What every process knows.
+    /// Settings that every process has.
     pub process: ProcessCfg,
-    /// Address for entries.
+    /// Address at which entries connect.
     pub listen: SocketAddr,
     /// Address of the engine.
     pub engine: SocketAddr,
-    /// What is switched off, in a measurement.
+    /// Mechanisms that are switched off, for a measurement.
     pub without: Without,
 }
 
--- a/crates/larkspring/src/direct/conn.rs
+++ b/crates/larkspring/src/direct/conn.rs
@@ -1,7 +1,7 @@
-//! HTTP/1.1 connections to endpoints, by hyper, without tasks of their own.
+//! HTTP/1.1 connections to endpoints, on hyper, without background tasks.
 //!
-//! Whoever uses a connection also drives it, so that an answer costs no switch between
-//! tasks and a connection that is dropped is closed at once.
+//! The user of a connection also drives it, so that an answer needs no switch between
+//! tasks, and a dropped connection is closed at once.
 
 use std::future::Future;
 use std::io;
@@ -22,33 +22,33 @@
 use crate::exec;
 use crate::http::client::connect;
 
-/// A connection that serves one request at a time.
+/// A connection that carries one request at a time.
 pub(crate) struct Conn {
     tx: SendRequest<SendBody>,
-    /// The connection's work; `None` once it has ended.
+    /// The connection's I/O future; `None` once the connection has ended.
     io: Option<Work>,
-    /// When its last answer ended.
+    /// When the connection became idle.
     pub rested_since: Instant,
-    /// How long the endpoint keeps it at rest, if it says so.
+    /// How long the endpoint keeps an idle connection open, if stated.
     pub keep_alive: Option<Duration>,
-    /// Whether it has carried a request before.
+    /// Whether the connection has carried a request before.
     pub used: bool,
 }
 
 type Work = Pin<Box<Connection<FuturesIo<TcpStream>, SendBody>>>;
 
 quick_error! {
-    /// Why a request has no answer, with the peer.
+    /// Why a request has no answer, with the peer's address.
     #[derive(Debug)]
     pub enum SendError {
         /// No byte of the request was sent.
         Unsent(peer: String, cause: String) { display("{peer}: not sent: {cause}") }
-        /// The request was sent, in part at least.
+        /// The request was sent, at least in part.
         Broken(peer: String, cause: String) { display("{peer}: no answer: {cause}") }
-        /// The request was sent, and is taken back by its sender.
-        TakenBack(peer: String, cause: String) { display("{peer}: taken back: {cause}") }
-        /// The answer's body is over its limit or broke off.
-        Body(peer: String, cause: String) { display("{peer}: the answer broke off: {cause}") }
+        /// The request was sent, and then cancelled by its sender.
+        TakenBack(peer: String, cause: String) { display("{peer}: cancelled: {cause}") }
+        /// The answer's body is over the size limit or was interrupted.
+        Body(peer: String, cause: String) { display("{peer}: the answer can't be read: {cause}") }
     }
 }
 
@@ -61,7 +61,7 @@
         Self::over(addr, sock).await
     }
 
-    /// Makes a connection of an open socket.
+    /// Creates a connection on an open socket.
     pub async fn over(addr: SocketAddr, sock: TcpStream) -> Result<Self, SendError> {
         let unsent = |cause: String| SendError::Unsent(addr.to_string(), cause);
         let shaken = handshake(FuturesIo::new(sock)).await;
@@ -98,7 +98,7 @@
         })
     }
 
-    /// Reads a body whole, up to `max` bytes.
+    /// Reads a whole body of up to `max` bytes.
     pub async fn read(
         &mut self,
         peer: SocketAddr,
@@ -116,7 +116,7 @@
             let frame = frame.map_err(|e| fail(cause_of(&e)))?;
             let Ok(data) = frame.into_data() else { continue };
             if whole.len() + data.len() > max {
-                return Err(fail(format!("it is over {max} bytes")));
+                return Err(fail(format!("its body is over {max} bytes")));
             }
             whole.extend_from_slice(&data);
         }
@@ -137,23 +137,24 @@
         Ok(Response::from_parts(head, body))
     }
 
-    /// Works on the connection as far as it goes without waiting.
+    /// Drives the connection's I/O as far as possible without waiting.
     pub fn drive(&mut self, cx: &mut Context<'_>) {
         let ended = self.io.as_mut().map(|io| io.as_mut().poll(cx));
         if let Some(Poll::Ready(_)) = ended {
-            // The request under way, if any, is told by the library itself.
+            // The library itself fails the request in progress, if any.
             self.io = None;
         }
     }
 
-    /// Whether it can take a request now: its last exchange is over in both directions,
-    /// the endpoint has not closed it and has sent nothing that was not asked for.
+    /// Whether the connection can take a request now: the last exchange is over in both
+    /// directions, and the endpoint has neither closed the connection nor sent
+    /// unrequested data.
     pub fn is_ready(&mut self, cx: &mut Context<'_>) -> bool {
         self.drive(cx);
         self.io.is_some() && matches!(self.tx.poll_ready(cx), Poll::Ready(Ok(())))
     }
 
-    /// Notes what an answer says about the connection.
+    /// Records the end of an answer, and the keep-alive time from its headers.
     pub fn learn(&mut self, headers: &HeaderMap) {
         self.rested_since = Instant::now();
         let value = headers.get("keep-alive").and_then(|v| v.to_str().ok());
@@ -167,7 +168,7 @@
     }
 }
 
-/// Describes an error of hyper with its cause.
+/// Returns an error's text with its source.
 pub(crate) fn cause_of(e: &dyn std::error::Error) -> String {
     match e.source() {
         Some(source) => format!("{e}: {source}"),
@@ -177,9 +178,9 @@
 
 /// Body of a request to an endpoint.
 pub(crate) enum SendBody {
-    /// One that is kept, so that it can be sent again.
+    /// A body kept in memory, so that it can be sent again.
     Kept(Option<Bytes>),
-    /// One that is passed on as it comes.
+    /// A body that is streamed as it arrives.
     Flow(Flow),
 }
 
@@ -187,17 +188,17 @@
 pub(crate) struct Flow {
     first: Option<Bytes>,
     rest: Option<Incoming>,
-    /// Bytes that may still come.
+    /// Limit of the bytes still to come.
     left: usize,
 }
 
 impl SendBody {
-    /// Creates a body that is kept.
+    /// Creates a body that is kept in memory.
     pub fn kept(bytes: Bytes) -> Self {
         Self::Kept((!bytes.is_empty()).then_some(bytes))
     }
 
-    /// Creates a body that is passed on, of at most `max` bytes in all.
+    /// Creates a body that is streamed, of at most `max` bytes in all.
     pub fn flow(first: Bytes, rest: Incoming, max: usize) -> Self {
         let left = max.saturating_sub(first.len());
         Self::Flow(Flow { first: Some(first), rest: Some(rest), left })
@@ -266,8 +267,8 @@
 }
 
 impl Drop for Flow {
-    /// Reads what the caller still sends: closing with unread bytes would reset its
-    /// connection, and with it the answer that may be on its way.
+    /// Reads the rest of the caller's body: closing with unread bytes would reset the
+    /// caller's connection, and lose an answer that may be on its way.
     fn drop(&mut self) {
         let Some(mut rest) = self.rest.take() else { return };
         let mut left = self.left;
--- a/crates/larkspring/src/direct/edge.rs
+++ b/crates/larkspring/src/direct/edge.rs
@@ -1,5 +1,5 @@
-//! What larkspring asks of a platform: its declared state, and how its requests, reports
-//! and orders are written.
+//! The interface to a platform: its declared state, and the encoding of requests, reports
+//! and orders.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -18,89 +18,90 @@
 use crate::clock::Moment;
 use crate::platform::{Answer, PlatformError};
 
-/// Name that a caller gives to one attempt at a request.
+/// Identifier that a caller gives to one attempt at a request.
 pub type RequestId = String;
 
 /// The declared state of a platform.
 pub trait Directory: Send + Sync {
-    /// Reads items of a kind, as they are written.
+    /// Reads items of a kind, without decoding them.
     fn read(&self, ask: Ask) -> Answer<'_, Read>;
 
     /// Decodes items that were read.
     fn decode(&self, kind: Kind, state: &State) -> Result<Listed, PlatformError>;
 }
 
-/// Where contents of requests that end endpoints outlive all processes.
+/// Stores the fingerprints of quarantined requests, so that they survive a restart of all
+/// processes.
 pub trait QuarantineStore: Send + Sync {
-    /// Which history the store's last answer was of. What was added in an earlier one may be
-    /// lost.
+    /// Returns the store's epoch at its last answer. Fingerprints that were added in an
+    /// earlier epoch may be lost.
     fn epoch(&self) -> StoreEpoch;
 
-    /// Reads all.
+    /// Reads all fingerprints.
     fn list(&self) -> Answer<'_, Vec<ContentHash>>;
 
-    /// Adds one, unless it is there.
+    /// Adds a fingerprint, unless it is stored already.
     fn add(&self, content: ContentHash) -> Answer<'_, ()>;
 
-    /// Removes one, if it is there.
+    /// Removes a fingerprint, if it is stored.
     fn remove(&self, content: ContentHash) -> Answer<'_, ()>;
 
-    /// Removes one for an operator, and notes that, so that nobody adds it again by what was
-    /// counted before.
+    /// Removes a fingerprint for an operator and records the lift, so that no process
+    /// adds the fingerprint again for crashes that were counted before.
     fn lift(&self, content: ContentHash) -> Answer<'_, ()>;
 
-    /// Reads what operators lifted.
+    /// Reads the fingerprints that operators lifted.
     fn lifted(&self) -> Answer<'_, Vec<ContentHash>>;
 
-    /// Forgets that one was lifted.
+    /// Deletes the record of a lift.
     fn forget_lift(&self, content: ContentHash) -> Answer<'_, ()>;
 }
 
-/// What is read of the declared state.
+/// A read of the declared state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Ask {
     /// The kind of items.
     pub kind: Kind,
-    /// What changed after a point; everything if there is none.
+    /// Reads the changes after this point; `None` reads the whole state.
     pub after: Option<After>,
 }
 
-/// Which changes are read.
+/// The changes to read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct After {
-    /// The state that is known.
+    /// The point up to which the state is known.
     pub at: StorePoint,
-    /// How long a change is waited for.
+    /// Longest time to wait for a change.
     pub wait: Duration,
 }
 
-/// What a read brought.
+/// The result of a read.
 #[derive(Debug, Clone)]
 pub enum Read {
     /// Items.
     State(State),
-    /// The history since the point is gone, or the store was restored from a copy since:
-    /// everything has to be read anew.
+    /// The history since the point was compacted, or the store was restored from a
+    /// backup: the whole state has to be read again.
     HistoryGone,
 }
 
-/// Items of a kind at a point, as they are written.
+/// Items of a kind at a point of the store's history, not decoded.
 #[derive(Debug, Clone, Default)]
 pub struct State {
-    /// The state that was read.
+    /// The point of the store's history that was read.
     pub at: StorePoint,
-    /// Whether it is everything, and not only what changed.
+    /// Whether this is the whole state, and not only changes.
     pub whole: bool,
     /// Pages of a list.
     pub pages: Vec<Bytes>,
     /// Changes after the list, in their order.
     pub changes: Vec<Bytes>,
-    /// Time since the platform's store answered; zero if it did just now.
+    /// Time since the platform's store answered; zero for an answer of the store itself.
     pub age: Duration,
-    /// When the call was sent to the store that brought this state: it held nothing newer
-    /// of this kind then. `None` if that is not known.
+    /// When the call to the store that returned this state was sent: the store held
+    /// nothing newer of this kind at that time. `None` if the time is unknown.
     pub proved: Option<Moment>,
-    /// Who answered.
+    /// Who answered the read.
     pub via: Via,
 }
 
@@ -110,14 +111,14 @@
     /// The platform's store.
     #[default]
     Store,
-    /// An agent that reads for the entries of its hall.
+    /// An agent that reads the store for the entries of its hall.
     Agent,
 }
 
-/// Kinds of declared state, each followed by itself.
+/// Kinds of declared state; each kind is followed separately.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Kind {
-    /// Routes, services and bounds on callers.
+    /// Routes, services and limits of callers.
     Routing,
     /// Endpoints.
     Endpoints,
@@ -129,7 +130,7 @@
     /// All kinds, in the order of their discriminants.
     pub const ALL: [Self; 3] = [Self::Routing, Self::Endpoints, Self::Versions];
 
-    /// Returns the word used in logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Routing => "routing",
@@ -139,14 +140,14 @@
     }
 }
 
-/// Items of a kind at a point.
+/// Decoded items of a kind at a point of the store's history.
 #[derive(Debug)]
 pub struct Listed {
-    /// The state that was read.
+    /// The point of the store's history that was read.
     pub at: StorePoint,
     /// The items.
     pub items: Vec<Item>,
-    /// Names of fields that nothing knows.
+    /// Names of unrecognised fields.
     pub unknown: BTreeSet<String>,
 }
 
@@ -155,76 +156,76 @@
 pub enum Item {
     /// The whole routing.
     Routing(Box<Routing>),
-    /// An endpoint that is listed, and when its entry was last written.
+    /// A listed endpoint, and the point at which its object was last written.
     Endpoint(Endpoint, StorePoint),
-    /// An endpoint that is listed no more.
+    /// An endpoint that is no longer listed.
     EndpointGone(Incarnation),
     /// The newest version of an adapter.
     Version(AdapterId, u64),
-    /// An item that makes no sense; it is logged and left out.
+    /// An invalid item; it is logged and left out.
     Unreadable {
         /// Its kind.
         kind: Kind,
-        /// Its name; empty if that can't be read either.
+        /// Its name; empty if the name can't be decoded either.
         name: String,
-        /// Why it can't be read.
+        /// Why it can't be decoded.
         cause: String,
     },
 }
 
 impl Item {
-    /// Whether it makes no sense.
+    /// Whether the item is invalid.
     pub fn is_unreadable(&self) -> bool {
         matches!(self, Self::Unreadable { .. })
     }
 }
 
-/// How requests, answers, reports and orders are written.
+/// The platform's encoding of requests, answers, reports and orders.
 pub trait Protocol: Send + Sync {
-    /// Reads what a caller says about its request.
+    /// Decodes a caller's headers.
     fn caller(&self, headers: &HeaderMap) -> Result<CallerRequest, BadRequest>;
 
-    /// Turns a caller's headers into those for the endpoint.
+    /// Rewrites a caller's headers for the endpoint.
     fn forward(&self, headers: &mut HeaderMap, to: &Forward<'_>);
 
-    /// Reads what an endpoint's answer says about itself.
+    /// Decodes the headers of an endpoint's answer.
     fn answer(&self, headers: &HeaderMap, id: &str) -> AnswerHead;
 
-    /// Reads what an answer of any kind says of the endpoint that gives it.
+    /// Decodes the notice in any answer of an endpoint.
     fn notice(&self, status: StatusCode, headers: &HeaderMap) -> Notice;
 
-    /// Names in an answer of any kind that nothing knows.
+    /// Returns the unrecognised names in any answer of an endpoint.
     fn unknown_words(&self, headers: &HeaderMap) -> Vec<String>;
 
-    /// Adds what a caller finds in an answer of larkspring's own.
+    /// Adds the headers of an answer that larkspring itself gives.
     fn own_answer(&self, headers: &mut HeaderMap, id: &str);
 
     /// Builds a request for the engine's report.
     fn report(&self) -> Request<Bytes>;
 
-    /// Reads the engine's report.
+    /// Decodes the engine's report.
     fn read_report(&self, res: &Response<Bytes>) -> Result<Report, BadAnswer>;
 
-    /// Builds a request for the engine's health, which tells its run.
+    /// Builds a request to the engine's health check, whose answer names the run.
     fn health(&self, path: &str) -> Option<Request<Bytes>>;
 
-    /// Reads the engine's run from the answer.
+    /// Decodes the name of the engine's run from the answer.
     fn read_health(&self, res: &Response<Bytes>) -> Option<Incarnation>;
 
     /// Builds an order.
     fn order(&self, order: &Order) -> Request<Bytes>;
 
-    /// Reads the answer to an order.
+    /// Decodes the answer to an order.
     fn read_order(&self, res: &Response<Bytes>) -> OrderEnd;
 }
 
 quick_error! {
-    /// Why a request can't be served as it is.
+    /// Why a request is not valid.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum BadRequest {
-        /// A header is needed.
+        /// A required header is missing.
         Missing(name: &'static str) { display("the header {name} is missing") }
-        /// A header can't be read.
+        /// A header can't be decoded.
         Header(name: &'static str) { display("the header {name} can't be read") }
     }
 }
@@ -235,160 +236,162 @@
     pub enum BadAnswer {
         /// Its status is not the expected one.
         Status(status: u16) { display("answered {status}") }
-        /// Its body can't be read.
+        /// Its body can't be decoded.
         Body(cause: String) { display("the answer can't be read: {cause}") }
     }
 }
 
-/// What a caller says about its request.
+/// A caller's request, by its headers.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CallerRequest {
-    /// Its name.
+    /// Its identifier.
     pub id: RequestId,
-    /// How long the caller waits.
+    /// How long the caller waits for the answer.
     pub deadline: Option<Duration>,
-    /// What it asks of a model engine.
+    /// The model request; `None` if the request is not for a model engine.
     pub model: Option<ModelRequest>,
-    /// The event after which a broken stream goes on.
+    /// The event after which an interrupted stream is resumed.
     pub resume_after: Option<String>,
-    /// What it shows of its key.
+    /// The caller's credential.
     pub credential: Credential,
-    /// Tokens of its prompt and at most of its answer, if it names them.
+    /// Tokens of the prompt plus the maximum of the answer, if stated.
     pub tokens: Option<u64>,
 }
 
-/// What a request asks of a model engine.
+/// The base model, adapter and prompt of a request to a model engine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ModelRequest {
     /// The base model.
     pub base: BaseId,
-    /// The adapter, if it names one.
+    /// The adapter, if the request names an adapter.
     pub adapter: Option<AdapterId>,
     /// Tokens of the prompt.
     pub prompt_tokens: u32,
-    /// Parts of the prompt in their order; other requests may share all but the last.
+    /// Parts of the prompt in their order; other requests may share all but the last
+    /// part.
     pub parts: Vec<PromptPart>,
 }
 
 /// A part of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Names its text.
+    /// Identifies its text.
     pub id: u64,
-    /// Its tokens.
+    /// Its number of tokens.
     pub tokens: u32,
 }
 
-/// What an endpoint is told beside the caller's own headers.
+/// Values for an endpoint beside the caller's own headers.
 #[derive(Debug, Clone)]
 pub struct Forward<'a> {
-    /// Time that is left.
+    /// Time left for the request.
     pub deadline: Duration,
-    /// The run of the endpoint that may run it.
+    /// The only run of the endpoint that may process the request.
     pub incarnation: &'a str,
-    /// The version that may run it: of the adapter.
+    /// The only version of the adapter that may process the request.
     pub version: Option<&'a str>,
-    /// Urgency; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u32,
-    /// The event after which a stream goes on.
+    /// The event after which the stream is resumed.
     pub resume_after: Option<&'a str>,
-    /// On whose behalf it is sent.
+    /// The caller's identity for the endpoint.
     pub identity: Identity<'a>,
 }
 
-/// On whose behalf a request is sent to an endpoint.
+/// The caller's identity as sent to an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Identity<'a> {
-    /// Callers need no keys: what they say of themselves is passed on.
+    /// Callers need no keys: their own identity headers are passed on.
     Unchecked,
-    /// The endpoint is told this workspace, or none; the caller's key is kept from it.
+    /// The endpoint gets this workspace, or none; the caller's key is not passed on.
     Checked(Option<&'a str>),
 }
 
-/// What an endpoint's answer says about itself.
+/// The parts of an endpoint's answer head that identify the answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AnswerHead {
-    /// Whether it answers the request that was sent.
+    /// Whether the answer is to the request that was sent.
     pub echo: Echo,
-    /// Whether the endpoint says that it did not run the request.
+    /// Whether the endpoint states that it did not run the request.
     pub not_run: bool,
-    /// Whether it bears the endpoint's signature.
+    /// Whether the answer has the endpoint's signature.
     pub signed: bool,
-    /// The run of the endpoint, if it says so.
+    /// The run of the endpoint, if stated.
     pub incarnation: Option<Incarnation>,
 }
 
-/// Which request an answer names.
+/// Which request an answer identifies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Echo {
-    /// The one that was sent.
+    /// The request that was sent.
     Same,
-    /// None.
+    /// No request.
     Missing,
-    /// Another one.
+    /// Another request.
     Other,
 }
 
 /// The state of an engine, by its own report.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Report {
-    /// When the run began, if it says so.
+    /// When the run began, if reported.
     pub start: Option<StartMs>,
-    /// Orders that it has taken in this run.
+    /// Number of orders accepted in this run.
     pub orders_taken: u64,
-    /// Whether it is working on an order for a base model.
+    /// Whether an order for a base model is in progress.
     pub busy: bool,
-    /// Base models that it holds.
+    /// Resident base models.
     pub bases: Vec<BaseId>,
-    /// Base models of which its VM has a copy.
+    /// Base models with a copy on the engine's VM.
     pub copied_bases: Vec<BaseId>,
-    /// Adapters that it holds.
+    /// Resident adapters.
     pub adapters: Vec<Target>,
-    /// Adapters on their way to it.
+    /// Adapters that are loading.
     pub pending: Vec<Target>,
-    /// Requests in its batch.
+    /// Number of requests in the batch.
     pub running: u32,
-    /// Requests that wait for the batch.
+    /// Number of requests that wait for a batch slot.
     pub queued: u32,
-    /// Names of fields that nothing knows.
+    /// Names of unrecognised fields.
     pub unknown: Vec<String>,
 }
 
 /// An order to an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Order {
-    /// What to do.
+    /// The change to make.
     pub change: Change,
-    /// Taken only while the engine has taken this many orders.
+    /// The order is accepted only while the engine has accepted this number of orders.
     pub orders_taken: u64,
-    /// Taken only by this run of the engine, if it is known.
+    /// The order is accepted only by this run of the engine, if the run is known.
     pub incarnation: Option<Incarnation>,
-    /// Who gives it.
+    /// Who sends the order.
     pub holder: String,
 }
 
-/// What an order changes.
+/// The change that an order makes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
     /// Load a base model.
     LoadBase(BaseId),
-    /// Load an adapter of a base model that is held.
+    /// Load an adapter of a resident base model.
     Load(Target),
     /// Unload an adapter.
     Unload(Target),
 }
 
-/// What an engine answered to an order.
+/// An engine's answer to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderEnd {
-    /// It is done.
+    /// The change is made.
     Done,
-    /// It is under way.
+    /// The change is in progress.
     UnderWay,
-    /// The engine has taken other orders, or works on one: its report tells more.
+    /// The engine has accepted other orders, or is working on an order: its report shows
+    /// which.
     Stale,
     /// Another run has the address.
     Moved,
-    /// The engine refuses it for good.
+    /// The engine refuses the order permanently.
     Refused(u16),
 }
--- a/crates/larkspring/src/direct/limits.rs
+++ b/crates/larkspring/src/direct/limits.rs
@@ -1,11 +1,11 @@
-//! What entries and homes of limits say to each other, as messages.
+//! Conversion of the messages between entries and bucket owners.
 
 use std::time::Duration;
 
 use larkspring_core::limits::home::{Grant, Want};
 use larkspring_proto::residency as wire;
 
-/// Writes a want; what is needed is rounded up.
+/// Encodes a request for units; needed units are rounded up.
 pub(super) fn write_want(want: &Want) -> wire::Want {
     wire::Want {
         workspace: want.workspace,
@@ -21,7 +21,7 @@
     }
 }
 
-/// Reads a grant.
+/// Decodes a grant.
 pub(super) fn read_grant(grant: &wire::Grant) -> Grant {
     Grant {
         workspace: grant.workspace,
@@ -31,7 +31,7 @@
     }
 }
 
-/// Reads a want.
+/// Decodes a request for units.
 pub(super) fn read_want(want: &wire::Want) -> Want {
     Want {
         workspace: want.workspace,
@@ -47,7 +47,8 @@
     }
 }
 
-/// Writes a grant; units are cut to whole ones, so that no entry gets more than was taken.
+/// Encodes a grant; units are rounded down, so that no entry gets more than was taken
+/// from the bucket.
 pub(super) fn write_grant(grant: &Grant) -> wire::Grant {
     wire::Grant {
         workspace: grant.workspace,
--- a/crates/larkspring/src/direct/logs.rs
+++ b/crates/larkspring/src/direct/logs.rs
@@ -1,7 +1,7 @@
-//! Bounds on the volume of log lines.
+//! Rate limits for log lines.
 //!
-//! Each kind of line has a budget a second. What is over it is left out and counted, and
-//! the count is logged, so that a reader knows that lines are missing.
+//! Each kind of line has a budget per second. Lines over the budget are left out and
+//! counted, and the count is logged, so that a reader knows that lines are missing.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
@@ -10,18 +10,18 @@
 use parking_lot::Mutex;
 use smol::Timer;
 
-/// Kinds of lines that come with load.
+/// Kinds of lines whose number grows with the load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Line {
     /// A request was served.
     Served,
-    /// A request was refused, or ended without a whole answer.
+    /// A request was refused, or ended without a complete answer.
     Unserved,
-    /// One attempt ended without an answer that could be delivered.
+    /// An attempt ended without an answer that could be delivered.
     Attempt,
-    /// An adapter was ordered in or out.
+    /// An adapter was ordered to be loaded or unloaded.
     Order,
-    /// What the process believes of an endpoint changed.
+    /// The replicated state of the process changed.
     Belief,
     /// A connection or request of a caller could not be read.
     Caller,
@@ -30,7 +30,7 @@
 }
 
 const KINDS: [(Line, &str, f64); 7] = [
-    // Lines a second: a served request is one of hundreds, a failure has to be found.
+    // Lines per second: a served request is one of hundreds, a failure has to be found.
     (Line::Served, "served", 30.0),
     (Line::Unserved, "unserved", 100.0),
     (Line::Attempt, "attempt", 60.0),
@@ -40,9 +40,9 @@
     (Line::Limit, "limit", 20.0),
 ];
 
-/// Seconds of its rate that a kind of line may save up.
+/// Seconds of its rate for which a kind of line may accumulate budget.
 const SAVED: f64 = 2.0;
-/// How often the number of lines left out is logged.
+/// Interval at which the number of lines left out is logged.
 const LEFT_OUT_EVERY: Duration = Duration::from_secs(5);
 
 struct Bucket {
@@ -54,7 +54,8 @@
     [const { Mutex::new(Bucket { saved: 0.0, filled: None }) }; KINDS.len()];
 static LEFT_OUT: [AtomicU64; KINDS.len()] = [const { AtomicU64::new(0) }; KINDS.len()];
 
-/// Whether a line of a kind may be written now; counts it as left out if not.
+/// Returns whether a line of a kind may be written now; if not, counts the line as left
+/// out.
 pub(crate) fn allows(line: Line) -> bool {
     let place = line as usize;
     let (_, _, rate) = KINDS[place];
@@ -73,13 +74,13 @@
     true
 }
 
-/// Number of lines left out so far, by kind.
+/// Returns the number of lines left out so far, by kind.
 pub(crate) fn left_out() -> impl Iterator<Item = (&'static str, u64)> {
     let counts = LEFT_OUT.iter().map(|n| n.load(Ordering::Relaxed));
     KINDS.iter().map(|(_, name, _)| *name).zip(counts)
 }
 
-/// Logs, now and then, how many lines were left out.
+/// Logs periodically how many lines were left out.
 pub(crate) async fn report_left_out() {
     let mut before = [0; KINDS.len()];
     loop {
@@ -94,7 +95,8 @@
     }
 }
 
-/// Writes a hash as all lines do, so that those of one request's content can be found.
+/// Formats a hash as in all log lines, so that the lines of one request fingerprint can
+/// be found.
 pub(crate) fn hash(hash: u64) -> String {
     format!("{hash:016x}")
 }
@@ -105,7 +107,7 @@
     tracing::warn!(event, name, cause);
 }
 
-/// Logs a change of what the process believes.
+/// Logs a change of the replicated state.
 pub(crate) fn belief(event: &'static str, at: StorePoint, count: usize) {
     if allows(Line::Belief) {
         let (epoch, revision) = (at.epoch(), at.revision());
--- a/crates/larkspring/src/direct/mod.rs
+++ b/crates/larkspring/src/direct/mod.rs
@@ -1,13 +1,16 @@
-//! Entries that send straight to endpoints, on a platform that lists them.
+//! Entries that send requests directly to endpoints, on a platform that lists its
+//! endpoints.
 //!
-//! The endpoint has the last word about its run and its adapters, so an agent is only
-//! needed to give its engine orders. The stages of a request:
+//! The endpoint is authoritative for its run and its adapters, so an agent is only needed
+//! to give orders to its engine. The stages of a request:
 //!
-//! 1. [`entry`]: it is read, routed, placed, sent and its answer relayed.
-//! 2. [`agent`]: the adapter that it names is loaded and kept while it runs.
+//! 1. [`entry`]: reads the request, selects a route and an endpoint, sends the request
+//!    and relays the answer.
+//! 2. [`agent`]: loads the adapter that the request names and keeps it resident while the
+//!    request runs.
 //!
-//! What the platform says is followed by [`watch`] into [`beliefs`]. [`edge`] is all that
-//! an adapter for a platform has to supply.
+//! [`watch`] follows the platform's declared state and applies it to [`beliefs`].
+//! [`edge`] holds all interfaces that an adapter for a platform has to implement.
 
 pub mod agent;
 pub mod beliefs;
--- a/crates/larkspring/src/direct/quarantine.rs
+++ b/crates/larkspring/src/direct/quarantine.rs
@@ -1,4 +1,4 @@
-//! What a process knows of requests that end endpoints, with its log lines and messages.
+//! Crash reports known to a process, with their log lines and messages.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -12,25 +12,27 @@
 use super::logs::{self, Line};
 use super::stats::Stats;
 
-/// The findings of one process.
+/// The crash reports of one process, by request fingerprint.
 #[derive(Debug)]
 pub(super) struct Findings {
     known: Mutex<Quarantine>,
-    /// Contents that are remembered: mostly none, which costs a request no lock.
+    /// Number of remembered fingerprints; it is mostly 0, and then a request takes no
+    /// lock.
     len: AtomicUsize,
     stats: Arc<Stats>,
 }
 
-/// Findings that a process is told when its connection opens, the latest: some 10 KB.
+/// Limits the crash reports sent to a process when its connection opens, the latest
+/// first: some 10 KB.
 const MAX_TOLD: usize = 512;
 
 impl Findings {
-    /// Creates findings of a process that has just started.
+    /// Creates the record of a process that has just started.
     pub fn new(stats: Arc<Stats>) -> Self {
         Self { known: Mutex::default(), len: AtomicUsize::new(0), stats }
     }
 
-    /// What follows for a request of a content.
+    /// Returns the quarantine status of a fingerprint.
     pub fn standing(&self, content: ContentHash) -> Standing {
         match self.len.load(Ordering::Acquire) {
             0 => Standing::Free,
@@ -38,12 +40,13 @@
         }
     }
 
-    /// Counts an end; returns what others are to be told.
+    /// Counts a crash; returns the crash report to forward to other processes.
     pub fn ended(&self, content: ContentHash, end: End) -> Option<wire::Finding> {
         self.change(content, |known, now| known.ended(now, content, end)).map(write)
     }
 
-    /// Records that an answer came to its end; returns what others are to be told.
+    /// Records a complete answer, which clears the fingerprint; returns the crash report
+    /// to forward to other processes.
     pub fn answered(&self, content: ContentHash) -> Option<wire::Finding> {
         if self.len.load(Ordering::Acquire) == 0 {
             return None;
@@ -51,7 +54,7 @@
         self.change(content, |known, now| known.clear(now, content)).map(write)
     }
 
-    /// Takes in what others found; returns what of it was news.
+    /// Applies crash reports of other processes; returns those that were new.
     pub fn learn(&self, told: &wire::Findings) -> Vec<wire::Finding> {
         let is_news = |found: &&wire::Finding| {
             self.change(found.content, |known, now| known.learn(now, &read(found)))
@@ -59,7 +62,7 @@
         told.findings.iter().filter(is_news).copied().collect()
     }
 
-    /// Takes in contents that are refused from now on; returns what of it was news.
+    /// Quarantines fingerprints; returns the crash reports that were new.
     pub fn quarantine(&self, contents: &[ContentHash]) -> Vec<wire::Finding> {
         let found = |content: &ContentHash| wire::Finding {
             content: *content,
@@ -70,7 +73,7 @@
         self.learn(&wire::Findings { findings })
     }
 
-    /// The contents that are refused.
+    /// Returns the quarantined fingerprints.
     pub fn refused(&self) -> Vec<ContentHash> {
         match self.len.load(Ordering::Acquire) {
             0 => Vec::new(),
@@ -78,7 +81,8 @@
         }
     }
 
-    /// What a process that has just connected is told; `None` if there is nothing.
+    /// Returns the crash reports to send to a process that has just connected; `None` if
+    /// there are none.
     pub fn all(&self) -> Option<wire::Findings> {
         if self.len.load(Ordering::Acquire) == 0 {
             return None;
@@ -88,14 +92,14 @@
         (!findings.is_empty()).then_some(wire::Findings { findings })
     }
 
-    /// Writes the number of contents by standing to the metrics.
+    /// Writes the number of fingerprints by quarantine status to the metrics.
     pub fn show(&self) {
         let (suspected, refused) = self.known.lock().counts(Instant::now());
         self.stats.state("requests_suspected", suspected as i64);
         self.stats.state("requests_quarantined", refused as i64);
     }
 
-    /// Changes what is known of a content, and logs what follows from it.
+    /// Changes the record of a fingerprint, and logs a change of its quarantine status.
     fn change<T>(
         &self,
         content: ContentHash,
@@ -127,7 +131,7 @@
     }
 }
 
-/// Writes an end for an agent.
+/// Encodes a crash for an agent.
 pub(super) fn write_end(content: ContentHash, end: &End) -> wire::End {
     let ms = |at: Instant| at.elapsed().as_millis() as u64;
     wire::End {
@@ -138,7 +142,7 @@
     }
 }
 
-/// Reads an end that an entry saw.
+/// Decodes a crash that an entry observed.
 pub(super) fn read_end(end: &wire::End) -> End {
     let now = Instant::now();
     let ago = |ms| now.checked_sub(Duration::from_millis(ms)).unwrap_or(now);
--- a/crates/larkspring/src/direct/reader.rs
+++ b/crates/larkspring/src/direct/reader.rs
@@ -1,4 +1,4 @@
-//! Reads of the platform's store that notice when one of them is lost.
+//! Reads of the platform's store, with detection of lost answers.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -12,22 +12,23 @@
 use crate::exec::within;
 use crate::platform::PlatformError;
 
-/// Reads the store; a watch that is not answered in time is followed by a list.
+/// Reads the store; sends a list request after a watch that is not answered in time.
 ///
-/// A connection may go silent while others work, so a lost watch says nothing of the store.
+/// A single connection may become unresponsive while others work, so a lost watch does
+/// not show that the store is unavailable.
 pub(super) struct StoreReader {
     directory: Arc<dyn Directory>,
     stats: Arc<Stats>,
-    /// Time that the store takes for an answer, the slowest of the last ones.
+    /// The slowest of the store's recent answer times, decayed.
     slowest: Mutex<Duration>,
 }
 
-/// Longest time for an answer, however slow the store is.
+/// Limits the time for an answer, however slow the store is.
 const MAX_ANSWER: Duration = Duration::from_secs(1);
-/// A watch is lost after so many times the time that answers take, if that is longer than
-/// its pace allows.
+/// Multiple of the slowest answer time after which a watch counts as lost, if that is
+/// longer than its pace allows.
 const PATIENCE: f64 = 3.0;
-/// Part of the slowest answer that is remembered with each one that is faster.
+/// Factor by which the slowest answer time decays with each faster answer.
 const FORGET: f64 = 0.8;
 
 impl StoreReader {
--- a/crates/larkspring/src/direct/side.rs
+++ b/crates/larkspring/src/direct/side.rs
@@ -1,4 +1,4 @@
-//! The small servers beside the main one: readiness and metrics.
+//! The HTTP servers for readiness and metrics.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -16,12 +16,12 @@
 
 use crate::exec;
 
-/// Answers a path of a small server with a status and a body.
+/// Answers a path with a status and a body.
 pub(crate) type Answer = dyn Fn(&str) -> (StatusCode, Vec<u8>) + Send + Sync;
 
-/// Time for a request's head; these servers are asked by the platform only.
+/// Time limit for a request's head; only the platform calls these servers.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause after a connection could not be accepted, as when descriptors run out.
+/// Pause after a failed accept, as when file descriptors run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
 /// Serves `answer` on an address in the background, as long as the task is kept.
@@ -55,11 +55,11 @@
         .header_read_timeout(HEAD_TIMEOUT)
         .serve_connection(FuturesIo::new(sock), service)
         .await;
-    // A peer that hangs up concerns nobody else.
+    // A peer that closes its connection affects no other connection.
     drop(served);
 }
 
-/// A body that is held whole.
+/// A body that is held in memory as a whole.
 pub(crate) struct Whole(pub Option<Bytes>);
 
 impl Body for Whole {
--- a/crates/larkspring/src/direct/stats.rs
+++ b/crates/larkspring/src/direct/stats.rs
@@ -1,4 +1,4 @@
-//! Counters and latency histograms, served as text.
+//! Metrics of a process, served as text.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use super::logs;
 use super::unknown::{Place, UnknownWords};
 
-/// The figures of one process.
+/// The metrics of one process.
 #[derive(Debug)]
 pub struct Stats {
     registry: Registry,
@@ -52,7 +52,7 @@
 }
 
 impl Stats {
-    /// Creates figures that are all zero.
+    /// Creates metrics that are all zero.
     pub fn new() -> Self {
         let registry = Registry::new();
         let counter = |name: &str, help: &str, labels: &[&str]| {
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Counts a request that ended.
+    /// Counts a completed request.
     pub fn request(&self, route: &str, outcome: &str) {
         self.requests.with_label_values(&[route, outcome]).inc();
     }
@@ -212,17 +212,17 @@
         self.connections.with_label_values(&[kind]).inc();
     }
 
-    /// Counts a hold that ended.
+    /// Counts a completed hold.
     pub fn hold(&self, end: &str) {
         self.holds.with_label_values(&[end]).inc();
     }
 
-    /// Counts an order.
+    /// Counts an order to the engine.
     pub fn order(&self, order: &str, answer: &str) {
         self.orders.with_label_values(&[order, answer]).inc();
     }
 
-    /// Counts a report that was asked of the engine.
+    /// Counts a request for the engine's report.
     pub fn report(&self, came: bool) {
         self.reports.with_label_values(&[outcome(came)]).inc();
     }
@@ -244,24 +244,24 @@
         self.workspaces.with_label_values(&[workspace, verdict]).inc();
     }
 
-    /// Counts items of the store that were left out.
+    /// Counts invalid items of the store that were left out.
     pub fn left_out(&self, kind: &str, count: u64) {
         if count > 0 {
             self.items_left_out.with_label_values(&[kind]).inc_by(count);
         }
     }
 
-    /// Counts a content whose standing changed.
+    /// Counts a change of a fingerprint's quarantine status.
     pub fn quarantine(&self, standing: &str) {
         self.quarantine.with_label_values(&[standing]).inc();
     }
 
-    /// Counts a look at whether an endpoint has ended.
+    /// Counts a check whether an endpoint has ended.
     pub fn look(&self, ended: bool) {
         self.looks.with_label_values(&[if ended { "yes" } else { "no" }]).inc();
     }
 
-    /// Counts what an answer says of its endpoint.
+    /// Counts the parts of an answer's notice.
     pub fn notice(&self, notice: Notice) {
         if notice.leaving {
             self.notices.with_label_values(&["leaving"]).inc();
@@ -275,7 +275,7 @@
         }
     }
 
-    /// Counts words that nothing reads.
+    /// Counts unrecognised names.
     pub(super) fn unknown_words<'a>(
         &self,
         place: Place,
@@ -284,47 +284,47 @@
         names.into_iter().for_each(|name| self.unknown.met(place, name));
     }
 
-    /// Counts an ask for leave to send to an endpoint that names a rate.
+    /// Counts a request for a permit to send to a rate-limited endpoint.
     pub fn permit(&self, end: &str) {
         self.permits.with_label_values(&[end]).inc();
     }
 
-    /// Counts a request that is sent to an endpoint while its rate is limited.
+    /// Counts a request that is sent to a rate-limited endpoint.
     pub fn rated_send(&self, kind: &str) {
         self.rated_sends.with_label_values(&[kind]).inc();
     }
 
-    /// Sets the units in reserve for a workspace.
+    /// Sets the units that the entry holds in reserve for a workspace.
     pub fn reserved(&self, workspace: &str, units: i64) {
         self.reserved.with_label_values(&[workspace]).set(units);
     }
 
-    /// Sets a figure of the present state.
+    /// Sets a gauge of the present state.
     pub fn state(&self, of: &str, value: i64) {
         self.state.with_label_values(&[of]).set(value);
     }
 
-    /// Sets the time since the store is proved to have held nothing newer of a kind; -1 if
-    /// it never was.
+    /// Sets the time since the store is proved to have held nothing newer of a kind; -1
+    /// without a proof.
     pub fn proof_age(&self, kind: &str, age: Option<Duration>) {
         let age = age.map_or(-1, |age| age.as_millis() as i64);
         self.state(&format!("{kind}_proof_age_ms"), age);
     }
 
-    /// Sets up to which point of the store's history a kind is known.
+    /// Sets the point of the store's history up to which a kind is known.
     pub fn store_point(&self, kind: &str, at: StorePoint) {
         self.state(&format!("{kind}_epoch"), at.epoch() as i64);
         self.state(&format!("{kind}_revision"), at.revision() as i64);
     }
 
-    /// Writes all figures as text.
+    /// Encodes all metrics as text.
     pub fn text(&self) -> Vec<u8> {
         for (kind, count) in logs::left_out() {
             let count = i64::try_from(count).unwrap_or(i64::MAX);
             self.left_out.with_label_values(&[kind]).set(count);
         }
         let mut text = Vec::new();
-        // Writing to memory fails only for figures without samples, which are left out.
+        // Encoding to memory fails only for metrics without samples, which are left out.
         if let Err(e) = TextEncoder::new().encode(&self.registry.gather(), &mut text) {
             tracing::warn!(event = "metrics not written", cause = %e);
         }
@@ -339,12 +339,13 @@
     }
 }
 
-/// Registers a figure. Names and labels are constants, so a fault shows at the first start.
+/// Registers a metric. Names and labels are constants, so an error shows at the first
+/// start.
 fn register<T>(registry: &Registry, made: prometheus::Result<T>) -> T
 where
     T: prometheus::core::Collector + Clone + 'static,
 {
-    let made = made.expect("the name and labels of a figure are valid");
-    registry.register(Box::new(made.clone())).expect("each figure has its own name");
+    let made = made.expect("the name and labels of a metric are valid");
+    registry.register(Box::new(made.clone())).expect("each metric has its own name");
     made
 }
--- a/crates/larkspring/src/direct/unknown.rs
+++ b/crates/larkspring/src/direct/unknown.rs
@@ -1,42 +1,44 @@
-//! Words of a platform that nothing reads, counted by where they came and by their name.
+//! Counts names from a platform that larkspring does not recognise, by source and by
+//! name.
 
 use std::collections::HashSet;
 
 use parking_lot::Mutex;
 use prometheus::IntCounterVec;
 
-/// Where a word came.
+/// Where an unrecognised name was found.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) enum Place {
     /// A header of an endpoint's answer.
     Answer,
     /// A field of an engine's report.
     Report,
-    /// A field of what the store lists of an endpoint.
+    /// A field of an endpoint's object in the store.
     Listed,
 }
 
-/// The words that a process met.
+/// The unrecognised names that a process has found.
 #[derive(Debug)]
 pub(super) struct UnknownWords {
     counter: IntCounterVec,
     names: Mutex<HashSet<(Place, String)>>,
 }
 
-/// Names that are told apart; an endpoint with ever new ones costs no more memory than that.
+/// Limits the names that are counted separately, so that an endpoint with ever new names
+/// uses no more memory.
 const MAX_NAMES: usize = 64;
-/// Characters of a name that are kept.
+/// Limits the characters of a name that are kept.
 const MAX_NAME: usize = 40;
-/// What further names are counted as.
+/// The name under which further names are counted.
 const OTHERS: &str = "(others)";
 
 impl UnknownWords {
-    /// Creates the record of a process that met none.
+    /// Creates an empty record.
     pub fn new(counter: IntCounterVec) -> Self {
         Self { counter, names: Mutex::default() }
     }
 
-    /// Counts a word, and logs it the first time.
+    /// Counts a name, and logs it the first time.
     pub fn met(&self, place: Place, name: &str) {
         let name: String = name.chars().take(MAX_NAME).collect();
         let name = name.escape_default().to_string();
@@ -57,7 +59,7 @@
 }
 
 impl Place {
-    /// Returns the word used in logs and metrics.
+    /// Returns the label used in logs and metrics.
     fn name(self) -> &'static str {
         match self {
             Self::Answer => "answer",
--- a/crates/larkspring/src/direct/watch.rs
+++ b/crates/larkspring/src/direct/watch.rs
@@ -1,4 +1,4 @@
-//! Following the platform's declared state.
+//! Follows the platform's declared state.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -19,11 +19,11 @@
 use crate::exec::{self, within};
 use crate::platform::PlatformError;
 
-/// First and longest pause after a call that failed.
+/// First and longest pause after a failed call.
 const BACKOFF_FIRST: Duration = Duration::from_millis(150);
 const BACKOFF_MOST: Duration = Duration::from_millis(400);
-/// How long the followers that do not ask while the store is away wait for the one that
-/// does; a bound in case that one's calls alone fail.
+/// Limits the time for which the other followers wait while one follower checks whether
+/// the store is available again, in case only that follower's calls fail.
 const WAIT_FOR_STORE: Duration = Duration::from_secs(2);
 
 /// Follows all kinds in the background, as long as the tasks are kept.
@@ -54,7 +54,7 @@
 struct Pace {
     store: StorePace,
     agent: AgentPace,
-    /// Longest wait of a read of the store.
+    /// Longest time for which a read of the store waits for a change.
     wait: Duration,
 }
 
@@ -74,7 +74,7 @@
     beliefs: Arc<Beliefs>,
     stats: Arc<Stats>,
     pace: Pace,
-    /// Calls in a row that failed.
+    /// Number of consecutive failed calls.
     failures: u32,
 }
 
@@ -87,7 +87,8 @@
             let mut rng = Rng::new();
             let wait = backoff(BACKOFF_FIRST, BACKOFF_MOST, self.failures, &mut rng);
             self.failures += 1;
-            // A single call may fail by itself; while the store is away one follower asks.
+            // A single call may fail by itself. While the store is unavailable, only one
+            // follower sends calls.
             if self.kind == Kind::Routing || self.failures == 1 {
                 Timer::after(wait).await;
             } else {
@@ -122,7 +123,8 @@
         }
     }
 
-    /// Takes in what was read; returns its point and who answered.
+    /// Applies the result of a read; returns its point in the store's history and who
+    /// answered.
     fn take(&mut self, state: &State) -> Result<(StorePoint, Via), PlatformError> {
         let listed = self.directory.decode(self.kind, state)?;
         let now = Instant::now();
@@ -155,7 +157,7 @@
     async fn watch(&self, after: After) -> Result<Read, PlatformError> {
         let away = async {
             self.beliefs.store_lost().await;
-            let cause = "the store does not answer other calls".into();
+            let cause = "the store is unavailable to other calls".into();
             Err(PlatformError::NoEffect("watch objects", cause))
         };
         let ask = Ask { kind: self.kind, after: Some(after) };
@@ -185,7 +187,7 @@
     }
 }
 
-/// Forgets endpoints that lapsed and did not come back.
+/// Removes endpoints that expired and were not listed again.
 async fn expire(beliefs: Arc<Beliefs>) {
     loop {
         let changed = beliefs.changed();
