--- a/crates/larkspring/src/direct/agent/keeper.rs
+++ b/crates/larkspring/src/direct/agent/controller.rs
@@ -19,14 +19,14 @@
 use larkspring_core::outcome::Refusal;
 use larkspring_core::slots::{Action, Eviction, Limits, LoadOrder, Slots, Waiting};
 use larkspring_proto::residency as wire;
-use larkspring_proto::residency::from_agent::Kind as Say;
-use larkspring_proto::residency::from_entry::Kind as Said;
+use larkspring_proto::residency::from_agent::Kind as AgentMessage;
+use larkspring_proto::residency::from_entry::Kind as EntryMessage;
 use smol::channel::{Receiver, Sender};
 use smol::Timer;
 
-use super::driver::{Command, Driven};
+use super::driver::{Command, CommandResult};
 use super::orders::Engine;
-use super::tell::{News, Told, TELL_EVERY, TELL_PAUSE};
+use super::publish::{EngineState, LastUpdate, MIN_PUBLISH_INTERVAL, PUBLISH_INTERVAL};
 use crate::direct::cfg::AgentCfg;
 use crate::direct::edge::Change;
 use crate::direct::limits::{read_want, write_grant};
@@ -37,34 +37,34 @@
 /// Number of an entry's connection, unique during this agent's life.
 pub(super) type EntryNumber = u64;
 
-/// An input of the keeper.
+/// An input of the controller.
 #[derive(Debug)]
 pub(super) enum Event {
-    EntryUp(EntryNumber, Sender<wire::FromAgent>),
-    EntrySaid(EntryNumber, Said),
-    EntryDown(EntryNumber),
-    Driven(Driven),
+    EntryConnected(EntryNumber, Sender<wire::FromAgent>),
+    EntryMessage(EntryNumber, EntryMessage),
+    EntryDisconnected(EntryNumber),
+    CommandDone(CommandResult),
     /// A notice from the headers of an engine's answer; sent ahead of the answer's own
     /// event.
-    Noticed {
+    EngineNotice {
         asked: Instant,
         notice: Notice,
     },
     /// Crash reports to be forwarded to all entries.
-    Found(Vec<wire::Finding>),
+    CrashReports(Vec<wire::Finding>),
 }
 
 /// Decides which orders the engine gets, and answers the entries.
-pub(super) struct Keeper {
+pub(super) struct Controller {
     pub(super) holder: String,
     pub(super) slots: Slots,
     pub(super) commands: Sender<Command>,
     pub(super) stats: Arc<Stats>,
-    pub(super) entries: HashMap<EntryNumber, Follower>,
+    pub(super) entries: HashMap<EntryNumber, EntryConnection>,
     holds: HashMap<(EntryNumber, u64), AttemptId>,
-    asked_by: HashMap<AttemptId, (EntryNumber, u64)>,
+    holds_by_attempt: HashMap<AttemptId, (EntryNumber, u64)>,
     /// Requests that wait for their adapter.
-    asked: HashMap<AttemptId, Asked>,
+    waiting: HashMap<AttemptId, WaitingRequest>,
     /// Granted requests by hall and adapter.
     demand: Demand<(HallId, TargetHash)>,
     hall: HallId,
@@ -74,14 +74,14 @@
     pub(super) declared: wire::Engine,
     pub(super) engine: Engine,
     /// Changes that are decided but not ordered yet.
-    pub(super) todo: VecDeque<Change>,
+    pub(super) queued_changes: VecDeque<Change>,
     /// Whether the driver is executing a command.
-    pub(super) driving: bool,
-    pub(super) report_at: Instant,
-    pub(super) told: Told,
+    pub(super) driver_busy: bool,
+    pub(super) next_report_at: Instant,
+    pub(super) last_update: LastUpdate,
     /// Prefill backlog: prompt tokens of the granted requests that the engine has not
     /// processed yet.
-    pub(super) unread: Unread,
+    pub(super) prefill_backlog: Unread,
     /// Buckets of the workspaces that this agent owns.
     limits: Home,
     /// Permits for the runs of which this agent is the issuer.
@@ -90,17 +90,17 @@
     findings: Arc<Findings>,
     /// Requests that were running before this agent started, on adapters that the engine
     /// has not reported yet.
-    pub(super) in_use: Vec<(AttemptId, Target)>,
+    pub(super) unreported_requests: Vec<(AttemptId, Target)>,
 }
 
 /// A request that waits for its adapter.
-struct Asked {
+struct WaitingRequest {
     unread_tokens: u32,
     adapter: TargetHash,
 }
 
 /// A connected entry.
-pub(super) struct Follower {
+pub(super) struct EntryConnection {
     tx: Sender<wire::FromAgent>,
     pub(super) hall: HallId,
     /// Whether the entry has not received the whole state yet.
@@ -108,18 +108,18 @@
 }
 
 /// Consecutive unanswered report requests after which the engine counts as failed.
-pub(super) const MAX_FAILURES: u32 = 2;
+pub(super) const MAX_REPORT_FAILURES: u32 = 2;
 /// Limits the queued messages of an entry; its connection is closed beyond that.
-const MAX_UNTAKEN: usize = 1024;
+const MAX_QUEUED_MESSAGES: usize = 1024;
 /// Limits the adapter loads in progress at an engine.
-const MAX_LOADING: usize = 4;
+const MAX_CONCURRENT_LOADS: usize = 4;
 /// Limits the requests that wait for adapters.
-const MAX_WAITING: usize = 1024;
+const MAX_WAITING_REQUESTS: usize = 1024;
 /// Wait after which a request may block new use of a busy adapter to free its slot.
-const PATIENCE: Duration = Duration::from_millis(150);
+const RETIRE_ADAPTER_AFTER: Duration = Duration::from_millis(150);
 
-impl Keeper {
-    /// Creates the keeper of an engine whose state is unknown.
+impl Controller {
+    /// Creates the controller of an engine whose state is unknown.
     pub fn new(
         cfg: &AgentCfg,
         commands: Sender<Command>,
@@ -131,10 +131,14 @@
         let limits = Limits {
             slots: 0,
             max_running: usize::MAX,
-            max_waiting: MAX_WAITING,
-            max_loading: MAX_LOADING,
+            max_waiting: MAX_WAITING_REQUESTS,
+            max_loading: MAX_CONCURRENT_LOADS,
             paced: uses(Mechanism::PacedFetches),
-            patience: if uses(Mechanism::Retiring) { PATIENCE } else { Duration::MAX },
+            patience: if uses(Mechanism::Retiring) {
+                RETIRE_ADAPTER_AFTER
+            } else {
+                Duration::MAX
+            },
             settle: Duration::ZERO,
             eviction: Eviction::Heat,
             order: match uses(Mechanism::WorthOrder) {
@@ -149,136 +153,153 @@
             stats,
             entries: HashMap::new(),
             holds: HashMap::new(),
-            asked_by: HashMap::new(),
+            holds_by_attempt: HashMap::new(),
             next_attempt: 1,
             declared: wire::Engine::default(),
             engine: Engine::default(),
-            todo: VecDeque::new(),
-            driving: false,
-            report_at: now,
-            told: Told {
-                news: News::default(),
+            queued_changes: VecDeque::new(),
+            driver_busy: false,
+            next_report_at: now,
+            last_update: LastUpdate {
+                state: EngineState::default(),
                 at: now,
                 due: false,
-                unread: Unread::new(now, 0),
+                prefill_backlog: Unread::new(now, 0),
             },
-            unread: Unread::new(now, 0),
-            asked: HashMap::new(),
+            prefill_backlog: Unread::new(now, 0),
+            waiting: HashMap::new(),
             demand: Demand::default(),
             hall: cfg.process.hall.clone(),
             limits: Home::new(cfg.process.limits),
             permits: Permits::default(),
             findings,
-            in_use: Vec::new(),
+            unreported_requests: Vec::new(),
         }
     }
 
     /// Handles events until the channel is closed.
     pub async fn run(mut self, events: Receiver<Event>) {
         loop {
-            let wake = self.wake_at();
+            let wakeup = self.next_wakeup();
             let timer = async {
-                Timer::at(wake).await;
+                Timer::at(wakeup).await;
                 None
             };
             let event = async { Some(events.recv().await) };
             match future::or(event, timer).await {
-                Some(Ok(event)) => self.take(Instant::now(), event),
+                Some(Ok(event)) => self.handle_event(Instant::now(), event),
                 Some(Err(_)) => return,
                 None => {}
             }
             while let Ok(event) = events.try_recv() {
-                self.take(Instant::now(), event);
+                self.handle_event(Instant::now(), event);
             }
             let now = Instant::now();
             self.schedule(now);
-            self.drive(now);
-            self.tell(now);
+            self.send_next_command(now);
+            self.publish(now);
         }
     }
 
-    fn wake_at(&self) -> Instant {
-        let tell = match self.told.due {
-            true => self.told.at + TELL_PAUSE,
-            false => self.told.at + TELL_EVERY,
+    fn next_wakeup(&self) -> Instant {
+        let publish_at = match self.last_update.due {
+            true => self.last_update.at + MIN_PUBLISH_INTERVAL,
+            false => self.last_update.at + PUBLISH_INTERVAL,
         };
-        let ask = self.engine.ask_name_at.filter(|_| !self.todo.is_empty());
-        match self.driving {
-            true => tell,
-            false => tell.min(self.report_at).min(ask.unwrap_or(tell)),
+        let name_retry =
+            self.engine.name_retry_at.filter(|_| !self.queued_changes.is_empty());
+        match self.driver_busy {
+            true => publish_at,
+            false => {
+                publish_at.min(self.next_report_at).min(name_retry.unwrap_or(publish_at))
+            }
         }
     }
 
-    fn take(&mut self, now: Instant, event: Event) {
+    fn handle_event(&mut self, now: Instant, event: Event) {
         match event {
-            Event::EntryUp(number, tx) => {
-                let follower = Follower { tx, hall: HallId::default(), is_new: true };
-                self.entries.insert(number, follower);
+            Event::EntryConnected(number, tx) => {
+                let connection =
+                    EntryConnection { tx, hall: HallId::default(), is_new: true };
+                self.entries.insert(number, connection);
+            }
+            Event::EntryMessage(number, message) => {
+                self.handle_message(now, number, message)
             }
-            Event::EntrySaid(number, said) => self.entry_said(now, number, said),
-            Event::EntryDown(number) => self.entry_down(now, number),
-            Event::Found(findings) => self.found(findings),
-            Event::Noticed { asked, notice } => self.noticed(now, asked, notice),
-            Event::Driven(driven) => {
-                self.driving = false;
-                match driven {
-                    Driven::Report(Ok(report)) => self.reported(now, report),
-                    Driven::Report(Err(cause)) => self.no_report(now, &cause),
-                    Driven::Identified(named) => self.identified(now, named),
-                    Driven::Order(order, end) => self.ordered(now, order, end),
+            Event::EntryDisconnected(number) => self.remove_entry(now, number),
+            Event::CrashReports(findings) => self.forward_crash_reports(findings),
+            Event::EngineNotice { asked, notice } => {
+                self.apply_notice(now, asked, notice)
+            }
+            Event::CommandDone(result) => {
+                self.driver_busy = false;
+                match result {
+                    CommandResult::Report(Ok(report)) => self.apply_report(now, report),
+                    CommandResult::Report(Err(cause)) => self.report_failed(now, &cause),
+                    CommandResult::RunName(named) => self.apply_run_name(now, named),
+                    CommandResult::Order(order, end) => {
+                        self.apply_order_result(now, order, end)
+                    }
                 }
             }
         }
     }
 
-    fn entry_said(&mut self, now: Instant, number: EntryNumber, said: Said) {
-        match said {
-            Said::Hello(hello) => {
+    fn handle_message(
+        &mut self,
+        now: Instant,
+        number: EntryNumber,
+        message: EntryMessage,
+    ) {
+        match message {
+            EntryMessage::Hello(hello) => {
                 if let Some(entry) = self.entries.get_mut(&number) {
                     entry.hall = hello.hall.as_str().into();
                 }
                 if let Some(findings) = self.findings.all() {
-                    self.say(number, Say::Findings(findings));
+                    self.send(number, AgentMessage::Findings(findings));
                 }
                 logs::dependency(&format!("entry {}", hello.entry), true, "");
             }
-            Said::Engine(declared) => {
+            EntryMessage::Engine(declared) => {
                 if declared.routing_version > self.declared.routing_version {
                     self.declared = declared;
-                    self.put_places(now);
-                    self.report_at = now;
+                    self.update_slot_limit(now);
+                    self.next_report_at = now;
                 }
             }
-            Said::Hold(hold) => self.hold(now, number, hold),
-            Said::Release(release) => self.release(now, (number, release.id)),
-            Said::Reserve(asked) => self.reserve(now, number, &asked),
-            Said::Permit(asked) => self.permit(now, number, &asked),
-            Said::EndedUnder(told) => {
-                let ended = |e: &wire::End| self.findings.ended(e.content, read_end(e));
-                let findings = told.ends.iter().filter_map(ended).collect();
-                self.found(findings);
+            EntryMessage::Hold(hold) => self.hold(now, number, hold),
+            EntryMessage::Release(release) => self.release(now, (number, release.id)),
+            EntryMessage::Reserve(asked) => self.grant_units(now, number, &asked),
+            EntryMessage::Permit(asked) => {
+                self.answer_permit_request(now, number, &asked)
             }
-            Said::Findings(told) => {
-                let news = self.findings.learn(&told);
-                self.found(news);
+            EntryMessage::EndedUnder(crashes) => {
+                let record = |e: &wire::End| self.findings.ended(e.content, read_end(e));
+                let findings = crashes.ends.iter().filter_map(record).collect();
+                self.forward_crash_reports(findings);
+            }
+            EntryMessage::Findings(received) => {
+                let new = self.findings.learn(&received);
+                self.forward_crash_reports(new);
             }
         }
     }
 
     /// Forwards crash reports to all entries.
-    fn found(&mut self, findings: Vec<wire::Finding>) {
+    fn forward_crash_reports(&mut self, findings: Vec<wire::Finding>) {
         if findings.is_empty() {
             return;
         }
         let numbers: Vec<_> = self.entries.keys().copied().collect();
         for number in numbers {
             let findings = findings.clone();
-            self.say(number, Say::Findings(wire::Findings { findings }));
+            self.send(number, AgentMessage::Findings(wire::Findings { findings }));
         }
     }
 
     /// Answers a request for units, as the bucket owner.
-    fn reserve(&mut self, now: Instant, number: EntryNumber, asked: &wire::Reserve) {
+    fn grant_units(&mut self, now: Instant, number: EntryNumber, asked: &wire::Reserve) {
         let wants: Vec<_> = asked.wants.iter().map(read_want).collect();
         let told = presence::Told {
             time: Duration::from_millis(asked.told_ms),
@@ -288,12 +309,17 @@
         let grants = self.limits.ask(now, &Ask { told, entries, wants: &wants });
         if !grants.is_empty() {
             let grants = grants.iter().map(write_grant).collect();
-            self.say(number, Say::Reserved(wire::Reserved { grants }));
+            self.send(number, AgentMessage::Reserved(wire::Reserved { grants }));
         }
     }
 
     /// Answers a request for a permit, as the permit issuer of a rate-limited run.
-    fn permit(&mut self, now: Instant, number: EntryNumber, asked: &wire::PermitAsk) {
+    fn answer_permit_request(
+        &mut self,
+        now: Instant,
+        number: EntryNumber,
+        asked: &wire::PermitAsk,
+    ) {
         let ask = permits::Ask {
             run: asked.run,
             rate: Rate::from_millis(asked.rate_millis),
@@ -307,7 +333,10 @@
             Verdict::Granted => 0,
             Verdict::Denied(wait) => wait.as_millis().max(1) as u64,
         };
-        self.say(number, Say::Permitted(wire::PermitReply { id: asked.id, wait_ms }));
+        self.send(
+            number,
+            AgentMessage::Permitted(wire::PermitReply { id: asked.id, wait_ms }),
+        );
     }
 
     fn hold(&mut self, now: Instant, number: EntryNumber, hold: wire::Hold) {
@@ -315,10 +344,10 @@
         self.next_attempt += 1;
         let target = Target::new(&hold.adapter, &hold.version);
         self.holds.insert((number, hold.id), id);
-        self.asked_by.insert(id, (number, hold.id));
+        self.holds_by_attempt.insert(id, (number, hold.id));
         if hold.in_use {
             if !self.slots.adopt(now, id, &target) {
-                self.in_use.push((id, target));
+                self.unreported_requests.push((id, target));
             }
             return;
         }
@@ -331,7 +360,8 @@
             worth: hold.worth,
         };
         let adapter = req.target.hash();
-        self.asked.insert(id, Asked { unread_tokens: hold.unread_tokens, adapter });
+        self.waiting
+            .insert(id, WaitingRequest { unread_tokens: hold.unread_tokens, adapter });
         if let Err(refusal) = self.slots.admit(now, id, req) {
             self.refuse(id, &refusal, &hold.request);
         }
@@ -339,21 +369,25 @@
 
     fn release(&mut self, now: Instant, key: (EntryNumber, u64)) {
         let Some(id) = self.holds.remove(&key) else { return };
-        self.asked_by.remove(&id);
-        self.asked.remove(&id);
-        self.in_use.retain(|(waiting, _)| *waiting != id);
+        self.holds_by_attempt.remove(&id);
+        self.waiting.remove(&id);
+        self.unreported_requests.retain(|(waiting, _)| *waiting != id);
         if !self.slots.abandon(id) {
             self.slots.ended(now, id);
         }
     }
 
-    fn entry_down(&mut self, now: Instant, number: EntryNumber) {
+    fn remove_entry(&mut self, now: Instant, number: EntryNumber) {
         if self.entries.remove(&number).is_none() {
             return;
         }
         let keys: Vec<_> =
             self.holds.keys().filter(|(n, _)| *n == number).copied().collect();
-        logs::dependency(&format!("entry connection {number}"), false, "closed");
+        logs::dependency(
+            &format!("entry connection {number}"),
+            false,
+            "connection closed",
+        );
         for key in keys {
             self.release(now, key);
         }
@@ -365,18 +399,24 @@
             match action {
                 Action::Start(id) => self.grant(now, id),
                 Action::Refuse(id, refusal) => self.refuse(id, &refusal, ""),
-                Action::Load(target) => self.todo.push_back(Change::Load(target)),
-                Action::Unload(target) => self.todo.push_front(Change::Unload(target)),
+                Action::Load(target) => {
+                    self.queued_changes.push_back(Change::Load(target))
+                }
+                Action::Unload(target) => {
+                    self.queued_changes.push_front(Change::Unload(target))
+                }
             }
         }
     }
 
     fn grant(&mut self, now: Instant, id: AttemptId) {
-        let Some(asked) = self.asked.remove(&id) else { return };
-        self.unread.add(now, asked.unread_tokens);
-        let Some((number, hold)) = self.asked_by.get(&id).copied() else { return };
+        let Some(asked) = self.waiting.remove(&id) else { return };
+        self.prefill_backlog.add(now, asked.unread_tokens);
+        let Some((number, hold)) = self.holds_by_attempt.get(&id).copied() else {
+            return;
+        };
         let copy_pays = self.copy_pays(now, number, asked.adapter);
-        self.say(number, Say::Granted(wire::Granted { id: hold, copy_pays }));
+        self.send(number, AgentMessage::Granted(wire::Granted { id: hold, copy_pays }));
     }
 
     /// Counts a request and returns whether its hall should hold the adapter too.
@@ -398,8 +438,8 @@
     }
 
     fn refuse(&mut self, id: AttemptId, refusal: &Refusal, request: &str) {
-        self.asked.remove(&id);
-        let Some(key) = self.asked_by.remove(&id) else { return };
+        self.waiting.remove(&id);
+        let Some(key) = self.holds_by_attempt.remove(&id) else { return };
         self.holds.remove(&key);
         let retry_after = refusal.retry_after.unwrap_or_default();
         if logs::allows(Line::Unserved) {
@@ -410,9 +450,9 @@
                 run = self.engine.run.as_deref(),
             );
         }
-        self.say(
+        self.send(
             key.0,
-            Say::Refused(wire::Refused {
+            AgentMessage::Refused(wire::Refused {
                 id: key.1,
                 reason: refusal.message.clone(),
                 retry_after_ms: retry_after.as_millis() as u64,
@@ -422,10 +462,10 @@
 
     /// Sends a message to an entry; closes the connection if the entry's queue is too
     /// long.
-    pub(super) fn say(&mut self, number: EntryNumber, kind: Say) {
+    pub(super) fn send(&mut self, number: EntryNumber, kind: AgentMessage) {
         let Some(entry) = self.entries.get(&number) else { return };
         let sent = entry.tx.try_send(wire::FromAgent { kind: Some(kind) });
-        if sent.is_err() || entry.tx.len() > MAX_UNTAKEN {
+        if sent.is_err() || entry.tx.len() > MAX_QUEUED_MESSAGES {
             entry.tx.close();
         }
     }
--- a/crates/larkspring/src/direct/agent/driver.rs
+++ b/crates/larkspring/src/direct/agent/driver.rs
@@ -12,7 +12,7 @@
 use larkspring_core::ids::Incarnation;
 use smol::channel::{self, Receiver, Sender};
 
-use super::keeper::Event;
+use super::controller::Event;
 use crate::direct::conn::Conn;
 use crate::direct::edge::{Order, OrderEnd, Protocol, Report};
 use crate::direct::stats::Stats;
@@ -32,9 +32,9 @@
 
 /// The result of a command; the error text says why there is no answer.
 #[derive(Debug)]
-pub(super) enum Driven {
+pub(super) enum CommandResult {
     Report(Result<Report, String>),
-    Identified(Result<Incarnation, String>),
+    RunName(Result<Incarnation, String>),
     Order(Order, Result<OrderEnd, String>),
 }
 
@@ -43,12 +43,12 @@
 /// sent meanwhile, so a lost answer delays all other loads by this time: with a fixed
 /// limit of 250 ms, 547 of 11,000 orders were not answered, and single loads waited 1.6 s
 /// behind them.
-const ANSWER: CallBounds =
+const ANSWER_TIMEOUT: CallBounds =
     CallBounds { least: Duration::from_millis(30), most: Duration::from_millis(250) };
 /// Time limit for the health check: its answer waits for a batch slot in the engine.
-const IDENTIFY: Duration = Duration::from_millis(250);
+const HEALTH_TIMEOUT: Duration = Duration::from_millis(250);
 /// Limits the size of a report in bytes.
-const MAX_REPORT: usize = 1024 * 1024;
+const MAX_REPORT_BYTES: usize = 1024 * 1024;
 
 struct Driver {
     engine: SocketAddr,
@@ -59,7 +59,7 @@
     events: Sender<Event>,
     /// The kind of call whose answer last advertised a rate: answers of other kinds may
     /// never state a rate, so their lack of one does not end the limit.
-    rate_named_by: Option<Call>,
+    rate_advertised_by: Option<Call>,
 }
 
 /// A kind of call to the engine.
@@ -78,9 +78,16 @@
     events: Sender<Event>,
 ) -> Sender<Command> {
     let (tx, rx) = channel::bounded(1);
-    let time = CallTime::new(ANSWER);
-    let driver =
-        Driver { engine, protocol, stats, conn: None, time, events, rate_named_by: None };
+    let time = CallTime::new(ANSWER_TIMEOUT);
+    let driver = Driver {
+        engine,
+        protocol,
+        stats,
+        conn: None,
+        time,
+        events,
+        rate_advertised_by: None,
+    };
     exec::spawn(driver.run(rx)).detach();
     tx
 }
@@ -89,38 +96,40 @@
     async fn run(mut self, commands: Receiver<Command>) {
         while let Ok(command) = commands.recv().await {
             let driven = match command {
-                Command::Report => Driven::Report(self.report().await),
-                Command::Identify(path) => Driven::Identified(self.identify(&path).await),
+                Command::Report => CommandResult::Report(self.report().await),
+                Command::Identify(path) => {
+                    CommandResult::RunName(self.identify(&path).await)
+                }
                 Command::Order(order) => {
                     let end = self.order(&order).await;
-                    Driven::Order(order, end)
+                    CommandResult::Order(order, end)
                 }
             };
-            if self.events.send(Event::Driven(driven)).await.is_err() {
+            if self.events.send(Event::CommandDone(driven)).await.is_err() {
                 return;
             }
         }
     }
 
     async fn report(&mut self) -> Result<Report, String> {
-        let res = self.timed(Call::Report, self.protocol.report()).await?;
+        let res = self.call_adaptive(Call::Report, self.protocol.report()).await?;
         self.protocol.read_report(&res).map_err(|e| e.to_string())
     }
 
     async fn identify(&mut self, path: &str) -> Result<Incarnation, String> {
         let req = self.protocol.health(path).ok_or("the health path is not valid")?;
-        let res = self.call(Call::Health, req, IDENTIFY).await?;
+        let res = self.call(Call::Health, req, HEALTH_TIMEOUT).await?;
         let run = self.protocol.read_health(&res);
         run.ok_or_else(|| format!("answered {} without a run name", res.status()))
     }
 
     async fn order(&mut self, order: &Order) -> Result<OrderEnd, String> {
-        let res = self.timed(Call::Order, self.protocol.order(order)).await?;
+        let res = self.call_adaptive(Call::Order, self.protocol.order(order)).await?;
         Ok(self.protocol.read_order(&res))
     }
 
     /// Calls the engine with the time limit that its recent answers call for.
-    async fn timed(
+    async fn call_adaptive(
         &mut self,
         kind: Call,
         req: Request<Bytes>,
@@ -143,41 +152,41 @@
     ) -> Result<Response<Bytes>, String> {
         let (engine, asked) = (self.engine, Instant::now());
         let work = async {
-            let mut conn = match kept(self.conn.take()).await {
+            let mut conn = match reuse(self.conn.take()).await {
                 Some(conn) => conn,
                 None => Conn::open(engine, limit).await.map_err(|e| e.to_string())?,
             };
-            let res = conn.fetch(engine, req, MAX_REPORT).await;
+            let res = conn.fetch(engine, req, MAX_REPORT_BYTES).await;
             let res = res.map_err(|e| e.to_string())?;
             Ok((res, conn))
         };
         let got: Option<Result<_, String>> = within(limit, work).await;
         let (res, conn) = got.ok_or("no answer in time")??;
         self.conn = Some(conn);
-        self.notice(kind, asked, &res);
+        self.forward_notice(kind, asked, &res);
         Ok(res)
     }
 
-    /// Sends the notice from an answer's headers to the keeper.
-    fn notice(&mut self, kind: Call, asked: Instant, res: &Response<Bytes>) {
+    /// Sends the notice from an answer's headers to the controller.
+    fn forward_notice(&mut self, kind: Call, asked: Instant, res: &Response<Bytes>) {
         let unknown = self.protocol.unknown_words(res.headers());
         self.stats.unknown_words(Place::Answer, &unknown);
         let mut notice = self.protocol.notice(res.status(), res.headers());
         match notice.rate {
-            RateWord::Named(_) => self.rate_named_by = Some(kind),
-            RateWord::Silent if self.rate_named_by == Some(kind) => {
-                self.rate_named_by = None;
+            RateWord::Named(_) => self.rate_advertised_by = Some(kind),
+            RateWord::Silent if self.rate_advertised_by == Some(kind) => {
+                self.rate_advertised_by = None;
             }
             _ if notice.is_empty() => return,
             _ => notice = notice.without_silence(),
         }
-        // The keeper lives as long as the agent.
-        let _ = self.events.try_send(Event::Noticed { asked, notice });
+        // The controller lives as long as the agent.
+        let _ = self.events.try_send(Event::EngineNotice { asked, notice });
     }
 }
 
 /// Returns the idle connection, unless the engine has closed it.
-async fn kept(conn: Option<Conn>) -> Option<Conn> {
+async fn reuse(conn: Option<Conn>) -> Option<Conn> {
     let mut conn = conn?;
     let ready = poll_fn(|cx| std::task::Poll::Ready(conn.is_ready(cx))).await;
     ready.then_some(conn)
--- a/crates/larkspring/src/direct/agent/mod.rs
+++ b/crates/larkspring/src/direct/agent/mod.rs
@@ -2,21 +2,21 @@
 //! resident.
 //!
 //! 1. [`serve`]: accepts entries, each on one connection.
-//! 2. [`keeper`]: decides with `core::slots` which adapters are loaded; one task owns the
+//! 2. [`controller`]: decides with `core::slots` which adapters are loaded; one task owns the
 //!    state.
 //! 3. [`orders`]: applies the engine's reports and issues the orders that follow.
-//! 4. [`tell`]: publishes the engine's state to the entries.
+//! 4. [`publish`]: publishes the engine's state to the entries.
 //! 5. [`driver`]: requests the engine's reports and sends it orders, one at a time.
-//! 6. [`state`]: reads the declared state once for all entries of the hall.
-//! 7. [`lasting`]: keeps quarantined request fingerprints in the platform's store.
+//! 6. [`state_cache`]: reads the declared state once for all entries of the hall.
+//! 7. [`quarantine_sync`]: keeps quarantined request fingerprints in the platform's store.
 
+mod controller;
 mod driver;
-mod keeper;
-mod lasting;
 mod orders;
+mod publish;
+mod quarantine_sync;
 mod serve;
-mod state;
-mod tell;
+mod state_cache;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,8 +26,8 @@
 use smol::net::TcpListener;
 use smol::{channel, Task};
 
-use self::keeper::Keeper;
-use self::state::KeptState;
+use self::controller::Controller;
+use self::state_cache::StateCache;
 use super::cfg::AgentCfg;
 use super::edge::{Directory, Protocol, QuarantineStore};
 use super::entry::StartError;
@@ -65,12 +65,13 @@
         let commands = driver::start(cfg.engine, protocol, stats.clone(), tx.clone());
         let metrics = cfg.process.metrics;
         let findings = Arc::new(Findings::new(stats.clone()));
-        let state = KeptState::new(directory, stats.clone(), &cfg.process);
-        let (shown, known, kept) = (stats.clone(), findings.clone(), state.clone());
+        let state = StateCache::new(directory, stats.clone(), &cfg.process);
+        let (metrics_stats, metrics_findings, metrics_state) =
+            (stats.clone(), findings.clone(), state.clone());
         let answer = move |_: &str| {
-            known.show();
-            kept.show();
-            (StatusCode::OK, shown.text())
+            metrics_findings.show();
+            metrics_state.write_metrics();
+            (StatusCode::OK, metrics_stats.text())
         };
         let served = side::serve(metrics, Arc::new(answer)).await;
         let served = served.map_err(|e| StartError::Listen("metrics", metrics, e))?;
@@ -81,11 +82,11 @@
             addr = %addr,
             engine = %cfg.engine,
         );
-        let keeper = Keeper::new(&cfg, commands, stats, findings.clone());
+        let controller = Controller::new(&cfg, commands, stats, findings.clone());
         let tasks = vec![
             served,
-            exec::spawn(keeper.run(rx)),
-            exec::spawn(lasting::run(quarantine, findings, tx.clone())),
+            exec::spawn(controller.run(rx)),
+            exec::spawn(quarantine_sync::run(quarantine, findings, tx.clone())),
             exec::spawn(logs::report_left_out()),
         ];
         let stopper = serve::start(listener, tx, state);
--- a/crates/larkspring/src/direct/agent/orders.rs
+++ b/crates/larkspring/src/direct/agent/orders.rs
@@ -6,8 +6,8 @@
 use larkspring_core::fleet::permits::run_hash;
 use larkspring_core::ids::{Incarnation, Target};
 
+use super::controller::{Controller, MAX_REPORT_FAILURES};
 use super::driver::Command;
-use super::keeper::{Keeper, MAX_FAILURES};
 use crate::direct::edge::{Change, Order, OrderEnd, Report};
 use crate::direct::logs::{self, Line};
 use crate::direct::unknown::Place;
@@ -18,87 +18,88 @@
     pub(super) run: Option<Incarnation>,
     /// Number of runs seen by this agent; identifies a run until the run reports its
     /// name.
-    pub(super) runs: u64,
+    pub(super) run_count: u64,
     /// The name that the run reported. Orders for adapters carry this name, so that an
     /// order that is carried out late never reaches another run.
-    pub(super) named: Option<Incarnation>,
+    pub(super) run_name: Option<Incarnation>,
     /// When the run's name is requested again, if the last answer held none.
-    pub(super) ask_name_at: Option<Instant>,
+    pub(super) name_retry_at: Option<Instant>,
     /// Backoff, draining and advertised rate, by the run's notices.
-    pub(super) said: Availability,
+    pub(super) availability: Availability,
     pub(super) report: Report,
     /// Consecutive report requests that failed.
-    pub(super) failures: u32,
+    pub(super) report_failures: u32,
     /// When the latest load was ordered.
-    pub(super) load_ordered: Option<Instant>,
+    pub(super) last_load_at: Option<Instant>,
     /// The latest order, for logs.
     pub(super) last_order: Option<(Instant, Change)>,
     /// The adapter of a load order without an answer: the engine may have accepted the
     /// order, or may accept it late, until the engine accepts another order.
-    pub(super) unclear: Option<Target>,
+    pub(super) unanswered_load: Option<Target>,
     /// When an order was last left without an answer.
-    unanswered: Option<Instant>,
+    last_unanswered_at: Option<Instant>,
     /// The name of the previous run.
-    former: Option<Incarnation>,
+    previous_name: Option<Incarnation>,
     /// Until when an order to the previous run may reach this run, which has the same
     /// name.
-    late_until: Option<Instant>,
+    late_order_until: Option<Instant>,
 }
 
 /// Report interval: a failed engine has to be noticed well before a caller's objective of
 /// 600 ms.
-const REPORT_EVERY: Duration = Duration::from_millis(100);
+const REPORT_INTERVAL: Duration = Duration::from_millis(100);
 /// Report interval while an adapter loads that the engine held recently (about 27 ms).
-const REPORT_SOON: Duration = Duration::from_millis(10);
-/// Time after a load order in which [`REPORT_SOON`] applies.
-const SOON_FOR: Duration = Duration::from_millis(60);
+const FAST_REPORT_INTERVAL: Duration = Duration::from_millis(10);
+/// Time after a load order in which [`FAST_REPORT_INTERVAL`] applies.
+const FAST_REPORT_PERIOD: Duration = Duration::from_millis(60);
 /// Report interval while an adapter is fetched from the weight store (250 ms and more).
-const REPORT_LOADING: Duration = Duration::from_millis(25);
+const LOADING_REPORT_INTERVAL: Duration = Duration::from_millis(25);
 /// Delay before the name of a run is requested again: the engine's health check waits for
 /// a batch slot and is charged.
-const ASK_NAME_AGAIN: Duration = Duration::from_millis(300);
+const NAME_RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// Time after which an order without an answer is no longer carried out: the platform's
 /// operators state up to 12 s.
-const LATE_ORDER: Duration = Duration::from_secs(13);
+const MAX_ORDER_DELAY: Duration = Duration::from_secs(13);
 
-impl Keeper {
+impl Controller {
     /// Sets the number of adapters that the engine may hold now.
     ///
     /// An order carries its run's name and the number of orders taken. A restarted run
     /// with the name of the previous run accepts a late order as soon as that number
     /// matches, so one adapter slot is kept free for that order; the report then shows
     /// which adapter was loaded.
-    pub(super) fn put_places(&mut self, now: Instant) {
-        let places = self.declared.places as usize;
-        let awaits_late = self.engine.late_until.is_some_and(|until| until > now);
-        let free = usize::from(awaits_late && places > 1);
-        self.slots.set_places(places - free);
+    pub(super) fn update_slot_limit(&mut self, now: Instant) {
+        let slots = self.declared.places as usize;
+        let expects_late_order =
+            self.engine.late_order_until.is_some_and(|until| until > now);
+        let free = usize::from(expects_late_order && slots > 1);
+        self.slots.set_places(slots - free);
     }
 
     /// Gives the driver its next command, if the driver is idle.
-    pub(super) fn drive(&mut self, now: Instant) {
+    pub(super) fn send_next_command(&mut self, now: Instant) {
         // An engine in backoff gets neither orders nor report requests.
-        if self.driving || self.engine.said.rests_for(now).is_some() {
+        if self.driver_busy || self.engine.availability.rests_for(now).is_some() {
             return;
         }
-        self.forget_unwanted();
+        self.cancel_unneeded_loads();
         let engine = &self.engine;
-        let command = match self.todo.front() {
-            _ if self.report_at <= now => Command::Report,
+        let command = match self.queued_changes.front() {
+            _ if self.next_report_at <= now => Command::Report,
             // An engine that does not answer report requests gets no series of orders.
-            _ if engine.failures > 0 => return,
-            Some(Change::Load(_) | Change::Unload(_)) if engine.named.is_none() => {
-                if engine.ask_name_at.is_some_and(|at| at > now) {
+            _ if engine.report_failures > 0 => return,
+            Some(Change::Load(_) | Change::Unload(_)) if engine.run_name.is_none() => {
+                if engine.name_retry_at.is_some_and(|at| at > now) {
                     return;
                 }
                 Command::Identify(self.declared.health_path.clone())
             }
             // Entries identify a run by its name, some seconds before the platform lists
             // the run.
-            None if engine.named.is_none() && !engine.report.bases.is_empty() => {
+            None if engine.run_name.is_none() && !engine.report.bases.is_empty() => {
                 let path = &self.declared.health_path;
-                if path.is_empty() || engine.ask_name_at.is_some_and(|at| at > now) {
+                if path.is_empty() || engine.name_retry_at.is_some_and(|at| at > now) {
                     return;
                 }
                 Command::Identify(path.clone())
@@ -106,16 +107,16 @@
             Some(change) => Command::Order(Order {
                 change: change.clone(),
                 orders_taken: engine.report.orders_taken,
-                incarnation: engine.named.clone(),
+                incarnation: engine.run_name.clone(),
                 holder: self.holder.clone(),
             }),
             None => return,
         };
         if matches!(command, Command::Order(_)) {
-            self.todo.pop_front();
+            self.queued_changes.pop_front();
         }
         // The driver takes one command at a time and is idle.
-        self.driving = self.commands.try_send(command).is_ok();
+        self.driver_busy = self.commands.try_send(command).is_ok();
     }
 
     /// Cancels the next queued loads that no request waits for: the fetch would be
@@ -123,22 +124,22 @@
     ///
     /// A load that the engine may have accepted keeps its slot until the outcome is
     /// known: with another adapter in this slot the engine would hold one too many.
-    fn forget_unwanted(&mut self) {
-        while let Some(Change::Load(target)) = self.todo.front() {
-            let unclear = self.engine.unclear.as_ref() == Some(target);
+    fn cancel_unneeded_loads(&mut self) {
+        while let Some(Change::Load(target)) = self.queued_changes.front() {
+            let unclear = self.engine.unanswered_load.as_ref() == Some(target);
             if unclear || self.slots.demand(target).is_some() {
                 return;
             }
             self.slots.not_loaded(target);
-            self.todo.pop_front();
+            self.queued_changes.pop_front();
         }
     }
 
     /// Applies a notice from an engine's answer.
-    pub(super) fn noticed(&mut self, now: Instant, asked: Instant, notice: Notice) {
-        let news = self.engine.said.hear(now, asked, notice, 0.0);
+    pub(super) fn apply_notice(&mut self, now: Instant, asked: Instant, notice: Notice) {
+        let news = self.engine.availability.hear(now, asked, notice, 0.0);
         if news.is_any() {
-            let rate = self.engine.said.rate_named();
+            let rate = self.engine.availability.rate_named();
             tracing::info!(
                 event = match news {
                     News { leaves: true, .. } => "engine leaves",
@@ -146,42 +147,42 @@
                     News { .. } if rate.is_some() => "engine names a rate",
                     News { .. } => "engine names no rate any more",
                 },
-                endpoint = self.engine.named.as_deref(),
+                endpoint = self.engine.run_name.as_deref(),
                 rest_ms = notice.rest.map(|rest| rest.as_millis() as u64),
                 rate_per_sec = rate.map(|rate| rate.as_per_sec()),
             );
         }
         if let (Some(run), Some(rate)) =
-            (&self.engine.named, self.engine.said.rate_named())
+            (&self.engine.run_name, self.engine.availability.rate_named())
         {
             self.permits.told(now, run_hash(run), rate, Duration::ZERO);
         }
-        if let Some(left) = self.engine.said.rests_for(now) {
+        if let Some(left) = self.engine.availability.rests_for(now) {
             // Requests that wait for an adapter go to other engines; the next report
             // makes this engine available again.
             self.slots.engine_lost();
-            self.report_at = now + left;
+            self.next_report_at = now + left;
         }
     }
 
-    pub(super) fn reported(&mut self, now: Instant, report: Report) {
+    pub(super) fn apply_report(&mut self, now: Instant, report: Report) {
         self.stats.report(true);
         self.stats.unknown_words(Place::Report, &report.unknown);
-        self.put_places(now);
-        let run = self.run_of(&report);
-        if self.engine.failures >= MAX_FAILURES {
+        self.update_slot_limit(now);
+        let run = self.current_run(&report);
+        if self.engine.report_failures >= MAX_REPORT_FAILURES {
             logs::dependency("engine", true, "");
         }
-        self.engine.failures = 0;
+        self.engine.report_failures = 0;
         let bases = &self.declared.bases;
         let has_base =
             report.bases.iter().any(|b| bases.iter().any(|name| **name == **b));
         self.engine.report = report;
         if has_base {
             let report = &self.engine.report;
-            self.todo.retain(|change| !is_done(change, report));
-            let todo = &self.todo;
-            let ordered = |t: &Target| !todo.iter().any(|c| concerns(c, t));
+            self.queued_changes.retain(|change| !is_applied(change, report));
+            let queued = &self.queued_changes;
+            let ordered = |t: &Target| !queued.iter().any(|c| affects(c, t));
             let failed = self.slots.engine_is_now(
                 now,
                 &run,
@@ -193,12 +194,13 @@
                 tracing::warn!(event = "load failed", adapter = %target);
             }
             let slots = &mut self.slots;
-            self.in_use.retain(|(id, target)| !slots.adopt(now, *id, target));
+            self.unreported_requests
+                .retain(|(id, target)| !slots.adopt(now, *id, target));
         } else {
             self.slots.engine_fills(&run);
             self.load_base();
         }
-        self.report_at = now + self.report_pause(now);
+        self.next_report_at = now + self.report_interval(now);
     }
 
     /// Orders a base model for an engine that holds none.
@@ -212,53 +214,54 @@
             _ => declared,
         };
         let Some(base) = base else { return };
-        let asked = self.todo.iter().any(|c| matches!(c, Change::LoadBase(_)));
+        let asked = self.queued_changes.iter().any(|c| matches!(c, Change::LoadBase(_)));
         if !engine.busy && engine.bases.is_empty() && !asked {
-            self.todo.clear();
-            self.todo.push_back(Change::LoadBase(base));
+            self.queued_changes.clear();
+            self.queued_changes.push_back(Change::LoadBase(base));
         }
     }
 
-    pub(super) fn no_report(&mut self, now: Instant, cause: &str) {
+    pub(super) fn report_failed(&mut self, now: Instant, cause: &str) {
         self.stats.report(false);
         // A refusal that asks for backoff is an answer, so the engine has not failed.
-        if self.engine.said.rests_for(now).is_some() {
+        if self.engine.availability.rests_for(now).is_some() {
             return;
         }
-        self.engine.failures += 1;
-        if self.engine.failures == MAX_FAILURES {
+        self.engine.report_failures += 1;
+        if self.engine.report_failures == MAX_REPORT_FAILURES {
             logs::dependency("engine", false, cause);
-            self.log_lost(now);
+            self.log_engine_lost(now);
             self.slots.engine_lost();
         }
-        self.report_at = now + REPORT_EVERY;
+        self.next_report_at = now + REPORT_INTERVAL;
     }
 
-    pub(super) fn identified(
+    pub(super) fn apply_run_name(
         &mut self,
         now: Instant,
-        named: Result<Incarnation, String>,
+        name: Result<Incarnation, String>,
     ) {
-        match named {
+        match name {
             Ok(named) => {
                 let engine = &mut self.engine;
-                if engine.former.as_ref() == Some(&named) {
-                    engine.late_until = engine.unanswered.map(|at| at + LATE_ORDER);
+                if engine.previous_name.as_ref() == Some(&named) {
+                    engine.late_order_until =
+                        engine.last_unanswered_at.map(|at| at + MAX_ORDER_DELAY);
                 }
-                engine.named = Some(named);
-                self.put_places(now);
+                engine.run_name = Some(named);
+                self.update_slot_limit(now);
             }
             Err(cause) => {
                 if logs::allows(Line::Order) {
                     let path = &self.declared.health_path;
                     tracing::warn!(event = "engine not identified", cause, path);
                 }
-                self.engine.ask_name_at = Some(now + ASK_NAME_AGAIN);
+                self.engine.name_retry_at = Some(now + NAME_RETRY_DELAY);
             }
         }
     }
 
-    pub(super) fn ordered(
+    pub(super) fn apply_order_result(
         &mut self,
         now: Instant,
         order: Order,
@@ -267,7 +270,7 @@
         self.log_order(&order, &end);
         self.engine.last_order = Some((now, order.change.clone()));
         if end.is_err() {
-            self.engine.unanswered = Some(now);
+            self.engine.last_unanswered_at = Some(now);
         }
         if let (Change::Load(target), Ok(OrderEnd::UnderWay) | Err(_)) =
             (&order.change, &end)
@@ -275,35 +278,39 @@
             self.slots.load_ordered(now, target);
         }
         match (&order.change, &end) {
-            (Change::Load(target), Err(_)) => self.engine.unclear = Some(target.clone()),
-            (_, Ok(OrderEnd::Done | OrderEnd::UnderWay)) => self.engine.unclear = None,
+            (Change::Load(target), Err(_)) => {
+                self.engine.unanswered_load = Some(target.clone())
+            }
+            (_, Ok(OrderEnd::Done | OrderEnd::UnderWay)) => {
+                self.engine.unanswered_load = None
+            }
             _ => {}
         }
         match end {
             Ok(OrderEnd::Done) => {
                 self.engine.report.orders_taken += 1;
                 match &order.change {
-                    Change::LoadBase(_) => self.report_at = now,
+                    Change::LoadBase(_) => self.next_report_at = now,
                     Change::Load(target) => self.slots.loaded(now, target, true),
                     Change::Unload(target) => self.slots.unloaded(now, target, true),
                 }
             }
             Ok(OrderEnd::UnderWay) => {
                 self.engine.report.orders_taken += 1;
-                self.engine.load_ordered = Some(now);
-                self.report_at = self.report_at.min(now + REPORT_SOON);
+                self.engine.last_load_at = Some(now);
+                self.next_report_at = self.next_report_at.min(now + FAST_REPORT_INTERVAL);
             }
             Ok(OrderEnd::Moved) => {
-                self.engine.named = None;
-                self.todo.push_front(order.change);
-                self.report_at = now;
+                self.engine.run_name = None;
+                self.queued_changes.push_front(order.change);
+                self.next_report_at = now;
             }
             Ok(OrderEnd::Stale) | Err(_) => {
                 // The report shows whether the order was accepted. If not, the order is
                 // sent again, with a number of orders taken that rules out the earlier
                 // order.
-                self.todo.push_front(order.change);
-                self.report_at = now;
+                self.queued_changes.push_front(order.change);
+                self.next_report_at = now;
             }
             Ok(OrderEnd::Refused(_)) => {
                 match &order.change {
@@ -311,54 +318,54 @@
                     Change::Load(target) => self.slots.loaded(now, target, false),
                     Change::Unload(target) => self.slots.unloaded(now, target, false),
                 }
-                self.report_at = now;
+                self.next_report_at = now;
             }
         }
     }
 
     /// Returns the run that a report comes from; fewer orders taken than before means a
     /// new run.
-    fn run_of(&mut self, report: &Report) -> Incarnation {
+    fn current_run(&mut self, report: &Report) -> Incarnation {
         let known = &self.engine.report;
-        let counts_on = report.orders_taken >= known.orders_taken;
+        let count_continues = report.orders_taken >= known.orders_taken;
         let keeps_base = known.bases.is_empty() || !report.bases.is_empty();
-        let began_again = report.start.is_some()
+        let is_restarted = report.start.is_some()
             && known.start.is_some_and(|start| Some(start) != report.start);
         if let Some(run) = &self.engine.run {
-            if counts_on && keeps_base && !began_again {
+            if count_continues && keeps_base && !is_restarted {
                 return run.clone();
             }
             tracing::warn!(event = "engine restarted", run = %run);
-            self.todo.clear();
-            self.engine.unclear = None;
-            self.engine.said = Availability::default();
+            self.queued_changes.clear();
+            self.engine.unanswered_load = None;
+            self.engine.availability = Availability::default();
         }
-        self.engine.runs += 1;
-        self.engine.former = self.engine.named.take();
-        let run: Incarnation = format!("run {}", self.engine.runs).into();
+        self.engine.run_count += 1;
+        self.engine.previous_name = self.engine.run_name.take();
+        let run: Incarnation = format!("run {}", self.engine.run_count).into();
         self.engine.run = Some(run.clone());
         run
     }
 
-    pub(super) fn report_pause(&self, now: Instant) -> Duration {
-        let since = self.engine.load_ordered.map(|at| now.saturating_duration_since(at));
+    pub(super) fn report_interval(&self, now: Instant) -> Duration {
+        let since = self.engine.last_load_at.map(|at| now.saturating_duration_since(at));
         match since {
             _ if self.engine.report.pending.is_empty() && !self.engine.report.busy => {
-                REPORT_EVERY
+                REPORT_INTERVAL
             }
-            Some(since) if since < SOON_FOR => REPORT_SOON,
-            _ => REPORT_LOADING,
+            Some(since) if since < FAST_REPORT_PERIOD => FAST_REPORT_INTERVAL,
+            _ => LOADING_REPORT_INTERVAL,
         }
     }
 
     /// Logs the engine's state when it was lost: requests or an order may have caused the
     /// crash.
-    fn log_lost(&self, now: Instant) {
+    fn log_engine_lost(&self, now: Instant) {
         let last = self.engine.last_order.as_ref();
         let since = |at: &Instant| now.saturating_duration_since(*at).as_millis() as u64;
         tracing::warn!(
             event = "engine lost",
-            endpoint = self.engine.named.as_deref(),
+            endpoint = self.engine.run_name.as_deref(),
             held = self.slots.running(),
             resident = self.engine.report.adapters.len(),
             pending = self.engine.report.pending.len(),
@@ -390,7 +397,7 @@
     }
 }
 
-fn concerns(change: &Change, target: &Target) -> bool {
+fn affects(change: &Change, target: &Target) -> bool {
     match change {
         Change::LoadBase(_) => false,
         Change::Load(t) | Change::Unload(t) => t == target,
@@ -398,7 +405,7 @@
 }
 
 /// Whether the engine's report shows that a change was made or is in progress.
-fn is_done(change: &Change, report: &Report) -> bool {
+fn is_applied(change: &Change, report: &Report) -> bool {
     match change {
         Change::LoadBase(base) => report.bases.contains(base),
         Change::Load(target) => {
--- a/crates/larkspring/src/direct/agent/lasting.rs
+++ b/crates/larkspring/src/direct/agent/quarantine_sync.rs
@@ -21,14 +21,14 @@
 use smol::channel::Sender;
 use smol::Timer;
 
-use super::keeper::Event;
+use super::controller::Event;
 use crate::direct::edge::QuarantineStore;
 use crate::direct::logs;
 use crate::direct::quarantine::Findings;
 use crate::platform::PlatformError;
 
 /// The stored fingerprints and lifts as this agent knows them.
-struct Lasting {
+struct QuarantineSync {
     store: Arc<dyn QuarantineStore>,
     findings: Arc<Findings>,
     events: Sender<Event>,
@@ -42,18 +42,18 @@
 }
 
 /// Interval at which pending writes and removals are carried out.
-const LOOK_EVERY: Duration = Duration::from_millis(500);
+const SYNC_INTERVAL: Duration = Duration::from_millis(500);
 /// Interval at which the store is read for lifts by operators, while this agent has
 /// stored fingerprints.
-const LIST_EVERY: Duration = Duration::from_secs(30);
+const LIST_INTERVAL: Duration = Duration::from_secs(30);
 /// Pause after a failed call.
 const FAILURE_PAUSE: Duration = Duration::from_secs(2);
 /// Time for which the record of a lift is kept: crash counts of other processes from
 /// before the lift have expired by then.
-const LIFT_KEPT: Duration = Duration::from_secs(3600);
+const LIFT_RETENTION: Duration = Duration::from_secs(3600);
 /// Limits the fingerprints that one agent stores, so that a caller with ever new fatal
 /// requests does not fill the store.
-const MAX_STORED: usize = 512;
+const MAX_STORED_FINGERPRINTS: usize = 512;
 
 /// Synchronises the store with the crash reports, without end.
 pub(super) async fn run(
@@ -64,68 +64,68 @@
     let (stored, listed_at) = (BTreeSet::new(), Instant::now());
     let lifted = BTreeMap::new();
     let epoch = store.epoch();
-    let mut lasting =
-        Lasting { store, findings, events, stored, epoch, lifted, listed_at };
-    let mut began = false;
+    let mut sync =
+        QuarantineSync { store, findings, events, stored, epoch, lifted, listed_at };
+    let mut loaded = false;
     loop {
-        let step = match began {
-            false => lasting.begin().await,
-            true => lasting.step().await,
+        let step = match loaded {
+            false => sync.load().await,
+            true => sync.reconcile().await,
         };
         match step {
-            Ok(()) => began = true,
+            Ok(()) => loaded = true,
             Err(e) => {
                 tracing::warn!(event = "quarantine not kept", cause = %e);
                 Timer::after(FAILURE_PAUSE).await;
             }
         }
-        Timer::after(LOOK_EVERY).await;
+        Timer::after(SYNC_INTERVAL).await;
     }
 }
 
-impl Lasting {
+impl QuarantineSync {
     /// Applies the store's contents at the agent's start.
-    async fn begin(&mut self) -> Result<(), PlatformError> {
+    async fn load(&mut self) -> Result<(), PlatformError> {
         let listed = self.store.list().await?;
         self.epoch = self.store.epoch();
-        let news = self.findings.quarantine(&listed);
+        let new_reports = self.findings.quarantine(&listed);
         self.stored.extend(listed);
-        self.tell(news).await;
-        self.take_in_lifts().await
+        self.forward(new_reports).await;
+        self.apply_lifts().await
     }
 
-    async fn step(&mut self) -> Result<(), PlatformError> {
+    async fn reconcile(&mut self) -> Result<(), PlatformError> {
         if self.is_restored() {
-            self.store_again().await?;
+            self.rewrite_after_restore().await?;
         }
-        let refused: BTreeSet<_> = self.findings.refused().into_iter().collect();
-        for content in refused.difference(&self.stored.clone()) {
-            if self.stored.len() >= MAX_STORED {
+        let quarantined: BTreeSet<_> = self.findings.refused().into_iter().collect();
+        for content in quarantined.difference(&self.stored.clone()) {
+            if self.stored.len() >= MAX_STORED_FINGERPRINTS {
                 break;
             }
-            self.keep(*content).await?;
+            self.store_fingerprint(*content).await?;
         }
-        for content in self.stored.clone().difference(&refused) {
+        for content in self.stored.clone().difference(&quarantined) {
             self.store.remove(*content).await?;
             self.stored.remove(content);
         }
-        self.forget_old_lifts().await?;
-        if self.stored.is_empty() || self.listed_at.elapsed() < LIST_EVERY {
+        self.delete_old_lifts().await?;
+        if self.stored.is_empty() || self.listed_at.elapsed() < LIST_INTERVAL {
             return Ok(());
         }
         self.listed_at = Instant::now();
-        self.take_in_lifts().await?;
+        self.apply_lifts().await?;
         let listed: BTreeSet<_> = self.store.list().await?.into_iter().collect();
         if self.is_restored() {
-            return self.store_again().await;
+            return self.rewrite_after_restore().await;
         }
         for content in self.stored.clone().difference(&listed) {
-            self.lift(*content).await;
+            self.apply_lift(*content).await;
         }
-        let forbidden: Vec<_> = listed.difference(&self.stored).copied().collect();
-        let news = self.findings.quarantine(&forbidden);
-        self.stored.extend(forbidden);
-        self.tell(news).await;
+        let imposed: Vec<_> = listed.difference(&self.stored).copied().collect();
+        let new_reports = self.findings.quarantine(&imposed);
+        self.stored.extend(imposed);
+        self.forward(new_reports).await;
         Ok(())
     }
 
@@ -137,7 +137,7 @@
 
     /// Records all lifts again. The quarantined fingerprints are no longer marked as
     /// stored, so the next steps store them again.
-    async fn store_again(&mut self) -> Result<(), PlatformError> {
+    async fn rewrite_after_restore(&mut self) -> Result<(), PlatformError> {
         let epoch = self.store.epoch();
         for content in self.lifted.keys() {
             self.store.lift(*content).await?;
@@ -149,24 +149,27 @@
 
     /// Stores a quarantined fingerprint, unless an operator has lifted it since its
     /// crashes were counted.
-    async fn keep(&mut self, content: ContentHash) -> Result<(), PlatformError> {
+    async fn store_fingerprint(
+        &mut self,
+        content: ContentHash,
+    ) -> Result<(), PlatformError> {
         if self.lifted.contains_key(&content) {
             // Crashes were counted again after the lift.
             self.store.forget_lift(content).await?;
             self.lifted.remove(&content);
         }
-        self.take_in_lifts().await?;
+        self.apply_lifts().await?;
         if self.lifted.contains_key(&content) {
             return Ok(());
         }
         self.store.add(content).await?;
         self.stored.insert(content);
         // A fingerprint that was lifted in the meantime is removed again.
-        self.take_in_lifts().await
+        self.apply_lifts().await
     }
 
     /// Applies lifts by operators: crashes counted before a lift no longer count.
-    async fn take_in_lifts(&mut self) -> Result<(), PlatformError> {
+    async fn apply_lifts(&mut self) -> Result<(), PlatformError> {
         for content in self.store.lifted().await? {
             if self.lifted.contains_key(&content) {
                 continue;
@@ -174,21 +177,21 @@
             if self.stored.contains(&content) {
                 self.store.remove(content).await?;
             }
-            self.lift(content).await;
+            self.apply_lift(content).await;
         }
         Ok(())
     }
 
-    async fn lift(&mut self, content: ContentHash) {
+    async fn apply_lift(&mut self, content: ContentHash) {
         tracing::warn!(event = "request lifted", content = logs::hash(content));
         self.stored.remove(&content);
         self.lifted.insert(content, Instant::now());
         let cleared = self.findings.answered(content);
-        self.tell(cleared.into_iter().collect()).await;
+        self.forward(cleared.into_iter().collect()).await;
     }
 
-    async fn forget_old_lifts(&mut self) -> Result<(), PlatformError> {
-        let is_old = |at: &Instant| at.elapsed() >= LIFT_KEPT;
+    async fn delete_old_lifts(&mut self) -> Result<(), PlatformError> {
+        let is_old = |at: &Instant| at.elapsed() >= LIFT_RETENTION;
         let old: Vec<_> =
             self.lifted.iter().filter(|(_, at)| is_old(at)).map(|(c, _)| *c).collect();
         for content in old {
@@ -198,10 +201,10 @@
         Ok(())
     }
 
-    async fn tell(&self, news: Vec<wire::Finding>) {
-        if !news.is_empty() {
-            // The keeper ends only with the whole process.
-            let _ = self.events.send(Event::Found(news)).await;
+    async fn forward(&self, new_reports: Vec<wire::Finding>) {
+        if !new_reports.is_empty() {
+            // The controller ends only with the whole process.
+            let _ = self.events.send(Event::CrashReports(new_reports)).await;
         }
     }
 }
--- a/crates/larkspring/src/direct/agent/serve.rs
+++ b/crates/larkspring/src/direct/agent/serve.rs
@@ -12,42 +12,42 @@
 use smol::net::TcpListener;
 use tonic::{Request, Response, Status, Streaming};
 
-use super::keeper::{EntryNumber, Event};
-use super::state::KeptState;
+use super::controller::{EntryNumber, Event};
+use super::state_cache::StateCache;
 use crate::exec;
 use crate::rpc::serve::{serve, Stopper};
 
 struct Service {
     events: Sender<Event>,
-    next: AtomicU64,
-    state: Arc<KeptState>,
+    next_number: AtomicU64,
+    state: Arc<StateCache>,
 }
 
 /// Serves entries on `listener` in the background.
 pub(super) fn start(
     listener: TcpListener,
     events: Sender<Event>,
-    state: Arc<KeptState>,
+    state: Arc<StateCache>,
 ) -> Stopper {
-    let service = Arc::new(Service { events, next: AtomicU64::new(1), state });
+    let service = Arc::new(Service { events, next_number: AtomicU64::new(1), state });
     serve(listener, ResidencyServer::from_arc(service))
 }
 
 #[tonic::async_trait]
 impl Residency for Service {
-    type FollowStream = Following;
+    type FollowStream = EntryStream;
 
     async fn follow(
         &self,
         req: Request<Streaming<FromEntry>>,
-    ) -> Result<Response<Following>, Status> {
-        let number = self.next.fetch_add(1, Ordering::Relaxed);
+    ) -> Result<Response<EntryStream>, Status> {
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         let (tx, rx) = channel::unbounded();
         let gone = |_| Status::unavailable("the agent stops");
-        self.events.send(Event::EntryUp(number, tx)).await.map_err(gone)?;
-        let reader = read(number, req.into_inner(), self.events.clone());
+        self.events.send(Event::EntryConnected(number, tx)).await.map_err(gone)?;
+        let reader = forward_messages(number, req.into_inner(), self.events.clone());
         let task = exec::spawn(reader);
-        Ok(Response::new(Following { rx: Box::pin(rx), _reader: task }))
+        Ok(Response::new(EntryStream { rx: Box::pin(rx), _reader: task }))
     }
 
     async fn read(
@@ -60,12 +60,12 @@
 
 /// The messages for one entry; the entry's own messages are read until this value is
 /// dropped.
-struct Following {
+struct EntryStream {
     rx: Pin<Box<Receiver<FromAgent>>>,
     _reader: smol::Task<()>,
 }
 
-impl Stream for Following {
+impl Stream for EntryStream {
     type Item = Result<FromAgent, Status>;
 
     fn poll_next(
@@ -76,32 +76,32 @@
     }
 }
 
-/// Notifies the keeper, when dropped, that an entry's connection has ended.
-struct Down {
+/// Notifies the controller, when dropped, that an entry's connection has ended.
+struct DisconnectGuard {
     number: EntryNumber,
     events: Sender<Event>,
 }
 
-impl Drop for Down {
+impl Drop for DisconnectGuard {
     fn drop(&mut self) {
         let (number, events) = (self.number, self.events.clone());
         exec::spawn(async move {
-            // The keeper ends only with the whole process.
-            let _ = events.send(Event::EntryDown(number)).await;
+            // The controller ends only with the whole process.
+            let _ = events.send(Event::EntryDisconnected(number)).await;
         })
         .detach();
     }
 }
 
-async fn read(
+async fn forward_messages(
     number: EntryNumber,
     mut messages: Streaming<FromEntry>,
     events: Sender<Event>,
 ) {
-    let _down = Down { number, events: events.clone() };
+    let _guard = DisconnectGuard { number, events: events.clone() };
     while let Ok(Some(message)) = messages.message().await {
         let Some(kind) = message.kind else { continue };
-        if events.send(Event::EntrySaid(number, kind)).await.is_err() {
+        if events.send(Event::EntryMessage(number, kind)).await.is_err() {
             return;
         }
     }
--- a/crates/larkspring/src/direct/agent/state.rs
+++ b/crates/larkspring/src/direct/agent/state_cache.rs
@@ -28,36 +28,36 @@
 use crate::platform::PlatformError;
 
 /// The declared state kept by an agent.
-pub(super) struct KeptState {
+pub(super) struct StateCache {
     store: StoreReader,
     stats: Arc<Stats>,
     paces: [StorePace; Kind::ALL.len()],
     kinds: [Feed; Kind::ALL.len()],
 }
 
-/// The kept state of one kind of items, and its change notification.
+/// The cached state of one kind of items, and its change notification.
 #[derive(Default)]
 struct Feed {
-    kept: Mutex<Kept>,
+    cached: Mutex<CachedState>,
     changed: Event,
 }
 
 #[derive(Default)]
-struct Kept {
+struct CachedState {
     /// The pages of the last list; `changes` holds the changes after the list.
     pages: Vec<Bytes>,
-    listed: StorePoint,
+    listed_at: StorePoint,
     changes: VecDeque<Change>,
     at: StorePoint,
     /// When the store last answered; `None` before the first list.
-    heard: Option<Instant>,
+    answered_at: Option<Instant>,
     /// When the call for that answer was sent.
-    proved: Option<Moment>,
+    proved_at: Option<Moment>,
     /// Whether the whole state has to be read again.
-    lists: bool,
+    must_list: bool,
     /// When an entry last sent a read; the store is read only while entries read.
-    asked: Option<Instant>,
-    is_read: bool,
+    last_read_at: Option<Instant>,
+    is_followed: bool,
 }
 
 struct Change {
@@ -71,14 +71,14 @@
 const FAILURE_PAUSE: Duration = Duration::from_secs(1);
 /// Minimum wait of an entry's read for the first list, after an agent has begun to read
 /// the store.
-const FIRST_LIST: Duration = Duration::from_millis(60);
+const MIN_FIRST_LIST_WAIT: Duration = Duration::from_millis(60);
 /// Time without a read by an entry after which the store is no longer read.
-const UNASKED: Duration = Duration::from_secs(5);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Limits the kept changes; endpoints change once a second. A reader that is further
 /// behind gets the whole state, and so does each reader's next read after a new list.
-const MAX_CHANGES: usize = 64;
+const MAX_KEPT_CHANGES: usize = 64;
 
-impl KeptState {
+impl StateCache {
     /// Creates the state of an agent that no entry has read from.
     pub fn new(
         directory: Arc<dyn Directory>,
@@ -105,35 +105,35 @@
         let received = Instant::now();
         let kind = kind_of(req.kind());
         let feed = self.feed(kind);
-        let begins = {
-            let mut kept = feed.kept.lock();
-            kept.asked = Some(Instant::now());
-            !std::mem::replace(&mut kept.is_read, true)
+        let starts_following = {
+            let mut cached = feed.cached.lock();
+            cached.last_read_at = Some(Instant::now());
+            !std::mem::replace(&mut cached.is_followed, true)
         };
-        if begins {
+        if starts_following {
             exec::spawn(self.clone().follow(kind)).detach();
         }
         let changed = feed.changed.listen();
-        let (nothing_new, knows) = {
-            let kept = feed.kept.lock();
-            (kept.at <= kept.known_by(req), kept.heard.is_some())
+        let (is_current, is_known) = {
+            let cached = feed.cached.lock();
+            (cached.at <= cached.known_point(req), cached.answered_at.is_some())
         };
-        if nothing_new || !knows {
-            let least = if knows { Duration::ZERO } else { FIRST_LIST };
-            within(Duration::from_millis(req.wait_ms).max(least), changed).await;
+        if is_current || !is_known {
+            let min_wait = if is_known { Duration::ZERO } else { MIN_FIRST_LIST_WAIT };
+            within(Duration::from_millis(req.wait_ms).max(min_wait), changed).await;
         }
         let now = Instant::now();
-        let reply = feed.kept.lock().reply(req, now);
+        let reply = feed.cached.lock().reply(req, now);
         let held_ms = now.saturating_duration_since(received).as_millis() as u64;
         wire::ReadReply { held_ms, ..reply }
     }
 
     /// Writes the age of each kind's state to the metrics.
-    pub fn show(&self) {
+    pub fn write_metrics(&self) {
         for kind in Kind::ALL {
-            let proved = self.feed(kind).kept.lock().proved;
-            self.stats.proof_age(kind.name(), proved.map(|at| at.elapsed()));
-            let at = self.feed(kind).kept.lock().at;
+            let proved_at = self.feed(kind).cached.lock().proved_at;
+            self.stats.proof_age(kind.name(), proved_at.map(|at| at.elapsed()));
+            let at = self.feed(kind).cached.lock().at;
             self.stats.store_point(kind.name(), at);
         }
     }
@@ -147,33 +147,33 @@
         let feed = self.feed(kind);
         loop {
             let after = {
-                let mut kept = feed.kept.lock();
-                if kept.asked.is_none_or(|at| at.elapsed() > UNASKED) {
-                    *kept = Kept::default();
+                let mut cached = feed.cached.lock();
+                if cached.last_read_at.is_none_or(|at| at.elapsed() > IDLE_TIMEOUT) {
+                    *cached = CachedState::default();
                     return;
                 }
-                let at = kept.at;
-                let is_full = kept.changes.len() >= MAX_CHANGES;
-                let lists = kept.heard.is_none() || kept.lists || is_full;
+                let at = cached.at;
+                let is_full = cached.changes.len() >= MAX_KEPT_CHANGES;
+                let lists = cached.answered_at.is_none() || cached.must_list || is_full;
                 (!lists).then_some(After { at, wait: self.pace(kind).wait })
             };
             let read = self.store.read(Ask { kind, after }, self.pace(kind)).await;
             self.stats.store_call(kind.name(), read.is_ok());
-            let pause = self.take(kind, read);
+            let pause = self.apply_read(kind, read);
             Timer::after(pause).await;
         }
     }
 
     /// Keeps the result of a read; returns the pause before the next read.
-    fn take(&self, kind: Kind, read: Result<Read, PlatformError>) -> Duration {
+    fn apply_read(&self, kind: Kind, read: Result<Read, PlatformError>) -> Duration {
         let feed = self.feed(kind);
         let state = match read {
             Ok(Read::State(state)) => state,
             Ok(Read::HistoryGone) => {
-                let mut kept = feed.kept.lock();
-                kept.lists = true;
+                let mut cached = feed.cached.lock();
+                cached.must_list = true;
                 if logs::allows(logs::Line::Belief) {
-                    let (epoch, revision) = (kept.at.epoch(), kept.at.revision());
+                    let (epoch, revision) = (cached.at.epoch(), cached.at.revision());
                     let kind = kind.name();
                     tracing::info!(event = "history gone", kind, epoch, revision);
                 }
@@ -181,8 +181,8 @@
             }
             Err(e) => {
                 if logs::allows(logs::Line::Belief) {
-                    let kept = feed.kept.lock().proved;
-                    let age = kept.map(|at| at.elapsed().as_millis() as u64);
+                    let proved_at = feed.cached.lock().proved_at;
+                    let age = proved_at.map(|at| at.elapsed().as_millis() as u64);
                     let kind = kind.name();
                     tracing::info!(event = "read failed", kind, cause = %e, proof_age_ms = age);
                 }
@@ -191,7 +191,7 @@
             }
         };
         let now = Instant::now();
-        if feed.kept.lock().take(state, now) {
+        if feed.cached.lock().apply(state, now) {
             feed.changed.notify(usize::MAX);
         }
         self.pace(kind).pause
@@ -202,15 +202,15 @@
     }
 }
 
-impl Kept {
+impl CachedState {
     /// Applies an answer of the store; returns whether anything changed.
-    fn take(&mut self, state: State, now: Instant) -> bool {
-        self.heard = Some(now);
-        self.proved = state.proved;
+    fn apply(&mut self, state: State, now: Instant) -> bool {
+        self.answered_at = Some(now);
+        self.proved_at = state.proved;
         if state.whole {
-            self.lists = false;
+            self.must_list = false;
             self.pages = state.pages;
-            self.listed = state.at;
+            self.listed_at = state.at;
             self.changes.clear();
         }
         let changed = state.whole || !state.changes.is_empty();
@@ -222,19 +222,19 @@
 
     /// The point up to which an entry knows the state; a request without an epoch means
     /// the present epoch.
-    fn known_by(&self, req: &wire::ReadRequest) -> StorePoint {
+    fn known_point(&self, req: &wire::ReadRequest) -> StorePoint {
         StorePoint::new(req.epoch.unwrap_or(self.at.epoch()), req.after)
     }
 
     /// Builds the reply to an entry's read.
     fn reply(&self, req: &wire::ReadRequest, now: Instant) -> wire::ReadReply {
-        let after = self.known_by(req);
-        let Some(heard) = self.heard else {
+        let after = self.known_point(req);
+        let Some(answered_at) = self.answered_at else {
             // Revision 0 means that nothing is known.
             return wire::ReadReply::default();
         };
-        let whole = after < self.listed;
-        let age = now.saturating_duration_since(heard);
+        let whole = after < self.listed_at;
+        let age = now.saturating_duration_since(answered_at);
         let newer = self.changes.iter().filter(|c| whole || c.to > after);
         wire::ReadReply {
             epoch: self.at.epoch(),
@@ -245,7 +245,7 @@
             age_ms: age.as_millis() as u64,
             // Without a freshness proof from the store the state counts as never proved.
             proof_age_ms: self
-                .proved
+                .proved_at
                 .map_or(u64::MAX, |at| at.elapsed().as_millis() as u64 + 1),
             held_ms: 0,
         }
