--- a/crates/larkspring/src/direct/agent/controller.rs
+++ b/crates/larkspring/src/direct/agent/controller.rs
@@ -47,7 +47,7 @@
     /// A notice from the headers of an engine's answer; sent ahead of the answer's own
     /// event.
     EngineNotice {
-        asked: Instant,
+        sent_at: Instant,
         notice: Notice,
     },
     /// Crash reports to be forwarded to all entries.
@@ -228,8 +228,8 @@
             }
             Event::EntryDisconnected(number) => self.remove_entry(now, number),
             Event::CrashReports(findings) => self.forward_crash_reports(findings),
-            Event::EngineNotice { asked, notice } => {
-                self.apply_notice(now, asked, notice)
+            Event::EngineNotice { sent_at, notice } => {
+                self.apply_notice(now, sent_at, notice)
             }
             Event::CommandDone(result) => {
                 self.driver_busy = false;
@@ -270,10 +270,8 @@
             }
             EntryMessage::Hold(hold) => self.hold(now, number, hold),
             EntryMessage::Release(release) => self.release(now, (number, release.id)),
-            EntryMessage::Reserve(asked) => self.grant_units(now, number, &asked),
-            EntryMessage::Permit(asked) => {
-                self.answer_permit_request(now, number, &asked)
-            }
+            EntryMessage::Reserve(req) => self.grant_units(now, number, &req),
+            EntryMessage::Permit(req) => self.answer_permit_request(now, number, &req),
             EntryMessage::EndedUnder(crashes) => {
                 let record = |e: &wire::End| self.findings.ended(e.content, read_end(e));
                 let findings = crashes.ends.iter().filter_map(record).collect();
@@ -299,14 +297,14 @@
     }
 
     /// Answers a request for units, as the bucket owner.
-    fn grant_units(&mut self, now: Instant, number: EntryNumber, asked: &wire::Reserve) {
-        let wants: Vec<_> = asked.wants.iter().map(read_want).collect();
+    fn grant_units(&mut self, now: Instant, number: EntryNumber, req: &wire::Reserve) {
+        let requests: Vec<_> = req.wants.iter().map(read_want).collect();
         let told = presence::Told {
-            time: Duration::from_millis(asked.told_ms),
-            joined: asked.joined,
+            time: Duration::from_millis(req.told_ms),
+            joined: req.joined,
         };
-        let entries = self.entries.len().max(asked.entries as usize);
-        let grants = self.limits.ask(now, &Ask { told, entries, wants: &wants });
+        let entries = self.entries.len().max(req.entries as usize);
+        let grants = self.limits.ask(now, &Ask { told, entries, wants: &requests });
         if !grants.is_empty() {
             let grants = grants.iter().map(write_grant).collect();
             self.send(number, AgentMessage::Reserved(wire::Reserved { grants }));
@@ -318,13 +316,13 @@
         &mut self,
         now: Instant,
         number: EntryNumber,
-        asked: &wire::PermitAsk,
+        req: &wire::PermitAsk,
     ) {
         let ask = permits::Ask {
-            run: asked.run,
-            rate: Rate::from_millis(asked.rate_millis),
-            age: Duration::from_millis(asked.age_ms),
-            home: match asked.second {
+            run: req.run,
+            rate: Rate::from_millis(req.rate_millis),
+            age: Duration::from_millis(req.age_ms),
+            home: match req.second {
                 true => permits::Home::Second,
                 false => permits::Home::First,
             },
@@ -335,7 +333,7 @@
         };
         self.send(
             number,
-            AgentMessage::Permitted(wire::PermitReply { id: asked.id, wait_ms }),
+            AgentMessage::Permitted(wire::PermitReply { id: req.id, wait_ms }),
         );
     }
 
@@ -386,7 +384,7 @@
         logs::dependency(
             &format!("entry connection {number}"),
             false,
-            "connection closed",
+            "the connection has ended",
         );
         for key in keys {
             self.release(now, key);
@@ -410,12 +408,12 @@
     }
 
     fn grant(&mut self, now: Instant, id: AttemptId) {
-        let Some(asked) = self.waiting.remove(&id) else { return };
-        self.prefill_backlog.add(now, asked.unread_tokens);
+        let Some(waiting) = self.waiting.remove(&id) else { return };
+        self.prefill_backlog.add(now, waiting.unread_tokens);
         let Some((number, hold)) = self.holds_by_attempt.get(&id).copied() else {
             return;
         };
-        let copy_pays = self.copy_pays(now, number, asked.adapter);
+        let copy_pays = self.copy_pays(now, number, waiting.adapter);
         self.send(number, AgentMessage::Granted(wire::Granted { id: hold, copy_pays }));
     }
 
--- a/crates/larkspring/src/direct/agent/driver.rs
+++ b/crates/larkspring/src/direct/agent/driver.rs
@@ -134,10 +134,10 @@
         kind: Call,
         req: Request<Bytes>,
     ) -> Result<Response<Bytes>, String> {
-        let asked = Instant::now();
+        let sent_at = Instant::now();
         let res = self.call(kind, req, self.time.limit()).await;
         match &res {
-            Ok(_) => self.time.answered(asked.elapsed()),
+            Ok(_) => self.time.answered(sent_at.elapsed()),
             Err(_) => self.time.lost(),
         }
         res
@@ -150,7 +150,7 @@
         req: Request<Bytes>,
         limit: Duration,
     ) -> Result<Response<Bytes>, String> {
-        let (engine, asked) = (self.engine, Instant::now());
+        let (engine, sent_at) = (self.engine, Instant::now());
         let work = async {
             let mut conn = match reuse(self.conn.take()).await {
                 Some(conn) => conn,
@@ -163,12 +163,12 @@
         let got: Option<Result<_, String>> = within(limit, work).await;
         let (res, conn) = got.ok_or("no answer in time")??;
         self.conn = Some(conn);
-        self.forward_notice(kind, asked, &res);
+        self.forward_notice(kind, sent_at, &res);
         Ok(res)
     }
 
     /// Sends the notice from an answer's headers to the controller.
-    fn forward_notice(&mut self, kind: Call, asked: Instant, res: &Response<Bytes>) {
+    fn forward_notice(&mut self, kind: Call, sent_at: Instant, res: &Response<Bytes>) {
         let unknown = self.protocol.unknown_words(res.headers());
         self.stats.unknown_words(Place::Answer, &unknown);
         let mut notice = self.protocol.notice(res.status(), res.headers());
@@ -181,7 +181,7 @@
             _ => notice = notice.without_silence(),
         }
         // The controller lives as long as the agent.
-        let _ = self.events.try_send(Event::EngineNotice { asked, notice });
+        let _ = self.events.try_send(Event::EngineNotice { sent_at, notice });
     }
 }
 
--- a/crates/larkspring/src/direct/agent/orders.rs
+++ b/crates/larkspring/src/direct/agent/orders.rs
@@ -136,12 +136,17 @@
     }
 
     /// Applies a notice from an engine's answer.
-    pub(super) fn apply_notice(&mut self, now: Instant, asked: Instant, notice: Notice) {
-        let news = self.engine.availability.hear(now, asked, notice, 0.0);
-        if news.is_any() {
+    pub(super) fn apply_notice(
+        &mut self,
+        now: Instant,
+        sent_at: Instant,
+        notice: Notice,
+    ) {
+        let changes = self.engine.availability.hear(now, sent_at, notice, 0.0);
+        if changes.is_any() {
             let rate = self.engine.availability.rate_named();
             tracing::info!(
-                event = match news {
+                event = match changes {
                     News { leaves: true, .. } => "engine leaves",
                     News { rests: true, .. } => "engine rests",
                     News { .. } if rate.is_some() => "engine names a rate",
@@ -214,8 +219,9 @@
             _ => declared,
         };
         let Some(base) = base else { return };
-        let asked = self.queued_changes.iter().any(|c| matches!(c, Change::LoadBase(_)));
-        if !engine.busy && engine.bases.is_empty() && !asked {
+        let is_queued =
+            self.queued_changes.iter().any(|c| matches!(c, Change::LoadBase(_)));
+        if !engine.busy && engine.bases.is_empty() && !is_queued {
             self.queued_changes.clear();
             self.queued_changes.push_back(Change::LoadBase(base));
         }
--- a/crates/larkspring/src/direct/agent/serve.rs
+++ b/crates/larkspring/src/direct/agent/serve.rs
@@ -43,8 +43,8 @@
     ) -> Result<Response<EntryStream>, Status> {
         let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         let (tx, rx) = channel::unbounded();
-        let gone = |_| Status::unavailable("the agent stops");
-        self.events.send(Event::EntryConnected(number, tx)).await.map_err(gone)?;
+        let stopping = |_| Status::unavailable("the agent stops");
+        self.events.send(Event::EntryConnected(number, tx)).await.map_err(stopping)?;
         let reader = forward_messages(number, req.into_inner(), self.events.clone());
         let task = exec::spawn(reader);
         Ok(Response::new(EntryStream { rx: Box::pin(rx), _reader: task }))
--- a/crates/larkspring/src/direct/beliefs.rs
+++ b/crates/larkspring/src/direct/beliefs.rs
@@ -36,7 +36,7 @@
     /// A moment at which the store held nothing newer.
     at: Option<Moment>,
     /// Whether a newer state was read that is invalid, so that nothing is proved.
-    in_doubt: bool,
+    is_in_doubt: bool,
     /// Whether the store was restored from a backup that lacks the routing in force.
     is_behind: bool,
 }
@@ -45,11 +45,11 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct StoreHealth {
     /// Since when the store has been unavailable.
-    away_since: Option<Instant>,
+    unavailable_since: Option<Instant>,
     /// When the store last became available again.
-    back_at: Option<Instant>,
+    recovered_at: Option<Instant>,
     /// When the store last answered.
-    heard_at: Option<Instant>,
+    answered_at: Option<Instant>,
 }
 
 impl Default for Beliefs {
@@ -83,14 +83,14 @@
     /// state.
     pub fn proved(&self, kind: Kind, at: Moment) {
         let mut proof = self.proof(kind).lock();
-        if !proof.in_doubt && !proof.is_behind {
+        if !proof.is_in_doubt && !proof.is_behind {
             proof.at = proof.at.max(Some(at));
         }
     }
 
     /// Records whether the newest routing that was read is invalid.
     pub fn routing_in_doubt(&self, in_doubt: bool) {
-        self.proof(Kind::Routing).lock().in_doubt = in_doubt;
+        self.proof(Kind::Routing).lock().is_in_doubt = in_doubt;
     }
 
     fn proof(&self, kind: Kind) -> &Mutex<Proof> {
@@ -127,7 +127,7 @@
 
     /// Returns since when the store has been unavailable, if it is.
     pub fn store_away_since(&self) -> Option<Instant> {
-        self.store.lock().away_since
+        self.store.lock().unavailable_since
     }
 
     /// Notifies when the store is available again.
@@ -154,14 +154,14 @@
         if self.members.lock().begin_epoch(listed.at) {
             // Endpoints that joined after the backup are listed again soon, as after an
             // outage.
-            self.store.lock().back_at = Some(now);
+            self.store.lock().recovered_at = Some(now);
         }
         let keep_until = self.keep_until(now);
         let mut endpoints = Vec::new();
         for item in listed.items {
             match item {
                 Item::Endpoint(endpoint, written) => endpoints.push((endpoint, written)),
-                other => self.take(now, listed.at, other),
+                other => self.apply_item(now, listed.at, other),
             }
         }
         let count = endpoints.len();
@@ -176,7 +176,7 @@
             return;
         }
         for item in changes.items {
-            self.take(now, changes.at, item);
+            self.apply_item(now, changes.at, item);
         }
         self.changed.notify(usize::MAX);
     }
@@ -194,8 +194,8 @@
     /// Records that a call to the store failed.
     pub fn store_failed(&self, now: Instant, cause: &str) {
         let mut store = self.store.lock();
-        if store.away_since.is_none() {
-            store.away_since = Some(now);
+        if store.unavailable_since.is_none() {
+            store.unavailable_since = Some(now);
             logs::dependency("store", false, cause);
             self.store_lost.notify(usize::MAX);
         }
@@ -203,15 +203,15 @@
 
     /// Returns the time since the store last answered; `None` before its first answer.
     pub fn store_age(&self) -> Option<Duration> {
-        self.store.lock().heard_at.map(|at| at.elapsed())
+        self.store.lock().answered_at.map(|at| at.elapsed())
     }
 
     /// Records that the store answered.
     pub fn store_answered(&self, now: Instant) {
         let mut store = self.store.lock();
-        store.heard_at = Some(now);
-        if store.away_since.take().is_some() {
-            store.back_at = Some(now);
+        store.answered_at = Some(now);
+        if store.unavailable_since.take().is_some() {
+            store.recovered_at = Some(now);
             logs::dependency("store", true, "");
             self.store_back.notify(usize::MAX);
         }
@@ -221,16 +221,16 @@
     /// removed at once.
     fn keep_until(&self, now: Instant) -> Option<Instant> {
         let store = *self.store.lock();
-        if store.away_since.is_some() {
+        if store.unavailable_since.is_some() {
             return Some(now + LAPSE_GRACE);
         }
-        store.back_at.map(|back| back + LAPSE_GRACE).filter(|until| *until > now)
+        store.recovered_at.map(|at| at + LAPSE_GRACE).filter(|until| *until > now)
     }
 
-    fn take(&self, now: Instant, at: StorePoint, item: Item) {
+    fn apply_item(&self, now: Instant, at: StorePoint, item: Item) {
         let (epoch, revision) = (at.epoch(), at.revision());
         match item {
-            Item::Routing(routing) => self.take_routing(*routing),
+            Item::Routing(routing) => self.apply_routing(*routing),
             Item::Endpoint(endpoint, written) => {
                 let (id, leaving) = (endpoint.id.clone(), endpoint.leaving);
                 let changed = self.members.lock().put(endpoint, written);
@@ -289,7 +289,7 @@
         }
     }
 
-    fn take_routing(&self, routing: Routing) {
+    fn apply_routing(&self, routing: Routing) {
         let known = self.routing.load().as_ref().map(|r| r.version);
         self.proof(Kind::Routing).lock().is_behind = known > Some(routing.version);
         if known.is_some_and(|version| version >= routing.version) {
--- a/crates/larkspring/src/direct/cfg.rs
+++ b/crates/larkspring/src/direct/cfg.rs
@@ -44,14 +44,14 @@
 
 /// Fraction of the revocation time for which a copy of the keys is trusted. The rest
 /// covers a store whose watches stay unresponsive for a second while its state changes.
-const TRUSTED_PART: f64 = 0.78;
+const KEY_TRUST_FRACTION: f64 = 0.78;
 /// Fraction of the trusted time for which a read of the routing waits for a change: two
 /// consecutive reads and an entry's own pause have to fit into half of the trusted time.
-const READ_PART: f64 = 0.2;
+const ROUTING_WAIT_FRACTION: f64 = 0.2;
 /// Fraction of [`ProcessCfg::replaced`] within which a new version becomes known. The
 /// rest is left for loading it and for requests that still wait to start on the previous
 /// version.
-const KNOWN_PART: f64 = 0.8;
+const VERSION_KNOWN_FRACTION: f64 = 0.8;
 
 impl ProcessCfg {
     /// Returns the time within which entries have to know a change of a kind of declared
@@ -60,7 +60,7 @@
         match kind {
             Kind::Routing => self.in_force,
             Kind::Endpoints => self.drain,
-            Kind::Versions => self.replaced.mul_f64(KNOWN_PART),
+            Kind::Versions => self.replaced.mul_f64(VERSION_KNOWN_FRACTION),
         }
     }
 
@@ -75,13 +75,13 @@
     /// Returns the greatest age of the keys at which requests are served; `None` for any
     /// age.
     pub fn trusted(&self) -> Option<Duration> {
-        self.revocation.map(|bound| bound.mul_f64(TRUSTED_PART))
+        self.revocation.map(|bound| bound.mul_f64(KEY_TRUST_FRACTION))
     }
 
     /// Returns the longest time for which a read of the routing waits for a change;
     /// `None` if only other needs limit it.
     pub fn routing_wait(&self) -> Option<Duration> {
-        self.trusted().map(|trusted| trusted.mul_f64(READ_PART))
+        self.trusted().map(|trusted| trusted.mul_f64(ROUTING_WAIT_FRACTION))
     }
 }
 
--- a/crates/larkspring/src/direct/conn.rs
+++ b/crates/larkspring/src/direct/conn.rs
@@ -26,7 +26,7 @@
 pub(crate) struct Conn {
     tx: SendRequest<SendBody>,
     /// The connection's I/O future; `None` once the connection has ended.
-    io: Option<Work>,
+    io: Option<ConnFuture>,
     /// When the connection became idle.
     pub rested_since: Instant,
     /// How long the endpoint keeps an idle connection open, if stated.
@@ -35,7 +35,7 @@
     pub used: bool,
 }
 
-type Work = Pin<Box<Connection<FuturesIo<TcpStream>, SendBody>>>;
+type ConnFuture = Pin<Box<Connection<FuturesIo<TcpStream>, SendBody>>>;
 
 quick_error! {
     /// Why a request has no answer, with the peer's address.
@@ -64,8 +64,8 @@
     /// Creates a connection on an open socket.
     pub async fn over(addr: SocketAddr, sock: TcpStream) -> Result<Self, SendError> {
         let unsent = |cause: String| SendError::Unsent(addr.to_string(), cause);
-        let shaken = handshake(FuturesIo::new(sock)).await;
-        let (tx, io) = shaken.map_err(|e| unsent(e.to_string()))?;
+        let result = handshake(FuturesIo::new(sock)).await;
+        let (tx, io) = result.map_err(|e| unsent(e.to_string()))?;
         Ok(Self {
             tx,
             io: Some(Box::pin(io)),
@@ -139,8 +139,8 @@
 
     /// Drives the connection's I/O as far as possible without waiting.
     pub fn drive(&mut self, cx: &mut Context<'_>) {
-        let ended = self.io.as_mut().map(|io| io.as_mut().poll(cx));
-        if let Some(Poll::Ready(_)) = ended {
+        let polled = self.io.as_mut().map(|io| io.as_mut().poll(cx));
+        if let Some(Poll::Ready(_)) = polled {
             // The library itself fails the request in progress, if any.
             self.io = None;
         }
@@ -277,8 +277,8 @@
                 poll_fn(|cx| Pin::new(&mut rest).poll_frame(cx)).await
             {
                 let len = frame.data_ref().map_or(0, Bytes::len);
-                let Some(less) = left.checked_sub(len) else { return };
-                left = less;
+                let Some(remaining) = left.checked_sub(len) else { return };
+                left = remaining;
             }
         })
         .detach();
--- a/crates/larkspring/src/direct/logs.rs
+++ b/crates/larkspring/src/direct/logs.rs
@@ -41,36 +41,36 @@
 ];
 
 /// Seconds of its rate for which a kind of line may accumulate budget.
-const SAVED: f64 = 2.0;
+const BURST_SECONDS: f64 = 2.0;
 /// Interval at which the number of lines left out is logged.
-const LEFT_OUT_EVERY: Duration = Duration::from_secs(5);
+const LEFT_OUT_LOG_INTERVAL: Duration = Duration::from_secs(5);
 
 struct Bucket {
-    saved: f64,
-    filled: Option<Instant>,
+    tokens: f64,
+    filled_at: Option<Instant>,
 }
 
 static BUCKETS: [Mutex<Bucket>; KINDS.len()] =
-    [const { Mutex::new(Bucket { saved: 0.0, filled: None }) }; KINDS.len()];
+    [const { Mutex::new(Bucket { tokens: 0.0, filled_at: None }) }; KINDS.len()];
 static LEFT_OUT: [AtomicU64; KINDS.len()] = [const { AtomicU64::new(0) }; KINDS.len()];
 
 /// Returns whether a line of a kind may be written now; if not, counts the line as left
 /// out.
 pub(crate) fn allows(line: Line) -> bool {
-    let place = line as usize;
-    let (_, _, rate) = KINDS[place];
+    let index = line as usize;
+    let (_, _, rate) = KINDS[index];
     let now = Instant::now();
-    let mut bucket = BUCKETS[place].lock();
-    let gained = match bucket.filled.replace(now) {
-        None => rate * SAVED,
+    let mut bucket = BUCKETS[index].lock();
+    let gained = match bucket.filled_at.replace(now) {
+        None => rate * BURST_SECONDS,
         Some(at) => now.saturating_duration_since(at).as_secs_f64() * rate,
     };
-    bucket.saved = (bucket.saved + gained).min(rate * SAVED);
-    if bucket.saved < 1.0 {
-        LEFT_OUT[place].fetch_add(1, Ordering::Relaxed);
+    bucket.tokens = (bucket.tokens + gained).min(rate * BURST_SECONDS);
+    if bucket.tokens < 1.0 {
+        LEFT_OUT[index].fetch_add(1, Ordering::Relaxed);
         return false;
     }
-    bucket.saved -= 1.0;
+    bucket.tokens -= 1.0;
     true
 }
 
@@ -84,10 +84,10 @@
 pub(crate) async fn report_left_out() {
     let mut before = [0; KINDS.len()];
     loop {
-        Timer::after(LEFT_OUT_EVERY).await;
-        for (place, (kind, count)) in left_out().enumerate() {
-            let more = count - before[place];
-            before[place] = count;
+        Timer::after(LEFT_OUT_LOG_INTERVAL).await;
+        for (index, (kind, count)) in left_out().enumerate() {
+            let more = count - before[index];
+            before[index] = count;
             if more > 0 {
                 tracing::warn!(event = "lines left out", kind, more);
             }
--- a/crates/larkspring/src/direct/quarantine.rs
+++ b/crates/larkspring/src/direct/quarantine.rs
@@ -24,7 +24,7 @@
 
 /// Limits the crash reports sent to a process when its connection opens, the latest
 /// first: some 10 KB.
-const MAX_TOLD: usize = 512;
+const MAX_SENT_REPORTS: usize = 512;
 
 impl Findings {
     /// Creates the record of a process that has just started.
@@ -42,7 +42,7 @@
 
     /// Counts a crash; returns the crash report to forward to other processes.
     pub fn ended(&self, content: ContentHash, end: End) -> Option<wire::Finding> {
-        self.change(content, |known, now| known.ended(now, content, end)).map(write)
+        self.change(content, |known, now| known.ended(now, content, end)).map(encode)
     }
 
     /// Records a complete answer, which clears the fingerprint; returns the crash report
@@ -51,15 +51,15 @@
         if self.len.load(Ordering::Acquire) == 0 {
             return None;
         }
-        self.change(content, |known, now| known.clear(now, content)).map(write)
+        self.change(content, |known, now| known.clear(now, content)).map(encode)
     }
 
     /// Applies crash reports of other processes; returns those that were new.
-    pub fn learn(&self, told: &wire::Findings) -> Vec<wire::Finding> {
-        let is_news = |found: &&wire::Finding| {
-            self.change(found.content, |known, now| known.learn(now, &read(found)))
+    pub fn learn(&self, received: &wire::Findings) -> Vec<wire::Finding> {
+        let is_new = |found: &&wire::Finding| {
+            self.change(found.content, |known, now| known.learn(now, &decode(found)))
         };
-        told.findings.iter().filter(is_news).copied().collect()
+        received.findings.iter().filter(is_new).copied().collect()
     }
 
     /// Quarantines fingerprints; returns the crash reports that were new.
@@ -88,7 +88,8 @@
             return None;
         }
         let findings = self.known.lock().findings(Instant::now());
-        let findings: Vec<_> = findings.into_iter().take(MAX_TOLD).map(write).collect();
+        let findings: Vec<_> =
+            findings.into_iter().take(MAX_SENT_REPORTS).map(encode).collect();
         (!findings.is_empty()).then_some(wire::Findings { findings })
     }
 
@@ -119,12 +120,12 @@
     }
 
     fn log(&self, content: ContentHash, standing: Standing) {
-        let (event, counted) = match standing {
+        let (event, status) = match standing {
             Standing::Free => ("request cleared", "cleared"),
             Standing::Suspected => ("request suspected", "suspected"),
             Standing::Refused => ("request quarantined", "quarantined"),
         };
-        self.stats.quarantine(counted);
+        self.stats.quarantine(status);
         if logs::allows(Line::Belief) {
             tracing::warn!(event, content = logs::hash(content));
         }
@@ -149,12 +150,12 @@
     End { attempt: end.attempt, began: ago(end.began_ms), at: ago(end.age_ms) }
 }
 
-fn write(found: Finding) -> wire::Finding {
+fn encode(found: Finding) -> wire::Finding {
     let age_ms = found.age.as_millis() as u64;
     wire::Finding { content: found.content, ends: found.ends, age_ms }
 }
 
-fn read(found: &wire::Finding) -> Finding {
+fn decode(found: &wire::Finding) -> Finding {
     let age = Duration::from_millis(found.age_ms);
     Finding { content: found.content, ends: found.ends, age }
 }
--- a/crates/larkspring/src/direct/reader.rs
+++ b/crates/larkspring/src/direct/reader.rs
@@ -24,12 +24,12 @@
 }
 
 /// Limits the time for an answer, however slow the store is.
-const MAX_ANSWER: Duration = Duration::from_secs(1);
+const MAX_ANSWER_TIME: Duration = Duration::from_secs(1);
 /// Multiple of the slowest answer time after which a watch counts as lost, if that is
 /// longer than its pace allows.
-const PATIENCE: f64 = 3.0;
+const LOST_AFTER_FACTOR: f64 = 3.0;
 /// Factor by which the slowest answer time decays with each faster answer.
-const FORGET: f64 = 0.8;
+const SLOWEST_DECAY: f64 = 0.8;
 
 impl StoreReader {
     /// Creates a reader of a store.
@@ -40,17 +40,17 @@
     /// Reads items of a kind.
     pub async fn read(&self, ask: Ask, pace: &StorePace) -> Result<Read, PlatformError> {
         let Some(after) = ask.after else { return self.list(ask.kind).await };
-        let limit = after.wait + self.patience(pace);
+        let limit = after.wait + self.answer_timeout(pace);
         let began = Instant::now();
         match within(limit, self.directory.read(ask)).await {
             Some(read) => {
                 if read.is_ok() {
-                    self.answered(began.elapsed().saturating_sub(after.wait));
+                    self.record_answer(began.elapsed().saturating_sub(after.wait));
                 }
                 read
             }
             None => {
-                self.lost(ask.kind, limit);
+                self.record_lost_watch(ask.kind, limit);
                 self.list(ask.kind).await
             }
         }
@@ -65,22 +65,22 @@
         let began = Instant::now();
         let read = self.directory.read(Ask { kind, after: None }).await;
         if read.is_ok() {
-            self.answered(began.elapsed());
+            self.record_answer(began.elapsed());
         }
         read
     }
 
-    fn patience(&self, pace: &StorePace) -> Duration {
-        let slow = self.slowest.lock().mul_f64(PATIENCE);
-        pace.answer.max(slow).min(MAX_ANSWER)
+    fn answer_timeout(&self, pace: &StorePace) -> Duration {
+        let slow = self.slowest.lock().mul_f64(LOST_AFTER_FACTOR);
+        pace.answer.max(slow).min(MAX_ANSWER_TIME)
     }
 
-    fn answered(&self, took: Duration) {
+    fn record_answer(&self, took: Duration) {
         let mut slowest = self.slowest.lock();
-        *slowest = took.max(slowest.mul_f64(FORGET));
+        *slowest = took.max(slowest.mul_f64(SLOWEST_DECAY));
     }
 
-    fn lost(&self, kind: Kind, after: Duration) {
+    fn record_lost_watch(&self, kind: Kind, after: Duration) {
         let kind = kind.name();
         self.stats.store_call(kind, false);
         if logs::allows(Line::Belief) {
--- a/crates/larkspring/src/direct/side.rs
+++ b/crates/larkspring/src/direct/side.rs
@@ -33,7 +33,9 @@
     Ok(exec::spawn(async move {
         loop {
             match listener.accept().await {
-                Ok((sock, _)) => exec::spawn(connection(sock, answer.clone())).detach(),
+                Ok((sock, _)) => {
+                    exec::spawn(serve_connection(sock, answer.clone())).detach()
+                }
                 Err(e) => {
                     tracing::warn!(event = "accept failed", cause = %e);
                     Timer::after(ACCEPT_PAUSE).await;
@@ -43,7 +45,7 @@
     }))
 }
 
-async fn connection(sock: TcpStream, answer: Arc<Answer>) {
+async fn serve_connection(sock: TcpStream, answer: Arc<Answer>) {
     let service = service_fn(move |req: Request<Incoming>| {
         let (status, body) = answer(req.uri().path());
         let mut res = Response::new(Whole(Some(body.into())));
--- a/crates/larkspring/src/direct/stats.rs
+++ b/crates/larkspring/src/direct/stats.rs
@@ -11,7 +11,7 @@
 };
 
 use super::logs;
-use super::unknown::{Place, UnknownWords};
+use super::unknown::{Place, UnknownNames};
 
 /// The metrics of one process.
 #[derive(Debug)]
@@ -32,9 +32,9 @@
     reserved: IntGaugeVec,
     items_left_out: IntCounterVec,
     quarantine: IntCounterVec,
-    looks: IntCounterVec,
+    endpoint_checks: IntCounterVec,
     notices: IntCounterVec,
-    unknown: UnknownWords,
+    unknown: UnknownNames,
     permits: IntCounterVec,
     rated_sends: IntCounterVec,
     left_out: IntGaugeVec,
@@ -42,7 +42,7 @@
 }
 
 /// Bounds of latency buckets in seconds: around the objectives of 0.15 to 1 s.
-const SECONDS: [f64; 12] =
+const LATENCY_BUCKETS_SECS: [f64; 12] =
     [0.005, 0.02, 0.05, 0.1, 0.15, 0.25, 0.4, 0.6, 0.8, 1.0, 2.0, 5.0];
 
 impl Default for Stats {
@@ -56,15 +56,16 @@
     pub fn new() -> Self {
         let registry = Registry::new();
         let counter = |name: &str, help: &str, labels: &[&str]| {
-            let made = IntCounterVec::new(Opts::new(name, help), labels);
-            register(&registry, made)
+            let metric = IntCounterVec::new(Opts::new(name, help), labels);
+            register(&registry, metric)
         };
         let gauge = |name: &str, help: &str, labels: &[&str]| {
-            let made = IntGaugeVec::new(Opts::new(name, help), labels);
-            register(&registry, made)
+            let metric = IntGaugeVec::new(Opts::new(name, help), labels);
+            register(&registry, metric)
         };
-        let times = |name: &str, help: &str, labels: &[&str]| {
-            let opts = HistogramOpts::new(name, help).buckets(SECONDS.to_vec());
+        let histogram = |name: &str, help: &str, labels: &[&str]| {
+            let opts =
+                HistogramOpts::new(name, help).buckets(LATENCY_BUCKETS_SECS.to_vec());
             register(&registry, HistogramVec::new(opts, labels))
         };
         Self {
@@ -73,17 +74,17 @@
                 "Requests by route and how they ended.",
                 &["route", "outcome"],
             ),
-            first_byte: times(
+            first_byte: histogram(
                 "larkspring_first_byte_seconds",
                 "Time from a request's head to the head of its answer.",
                 &["route"],
             ),
-            pause: times(
+            pause: histogram(
                 "larkspring_pause_seconds",
                 "Longest pause between parts of an answer.",
                 &["route"],
             ),
-            wait: times(
+            wait: histogram(
                 "larkspring_adapter_wait_seconds",
                 "Time that requests waited for an adapter to be ready.",
                 &["source"],
@@ -138,7 +139,7 @@
                 "Contents of requests by what endings of endpoints let think of them.",
                 &["standing"],
             ),
-            looks: counter(
+            endpoint_checks: counter(
                 "larkspring_endpoint_looks_total",
                 "Looks after answers that broke off, by whether the endpoint had ended.",
                 &["ended"],
@@ -148,7 +149,7 @@
                 "Answers in which endpoints said what they take no more, or how much.",
                 &["said"],
             ),
-            unknown: UnknownWords::new(counter(
+            unknown: UnknownNames::new(counter(
                 "larkspring_unknown_words_total",
                 "Words of the platform and its endpoints that nothing reads.",
                 &["place", "name"],
@@ -258,7 +259,7 @@
 
     /// Counts a check whether an endpoint has ended.
     pub fn look(&self, ended: bool) {
-        self.looks.with_label_values(&[if ended { "yes" } else { "no" }]).inc();
+        self.endpoint_checks.with_label_values(&[if ended { "yes" } else { "no" }]).inc();
     }
 
     /// Counts the parts of an answer's notice.
@@ -281,7 +282,7 @@
         place: Place,
         names: impl IntoIterator<Item = &'a String>,
     ) {
-        names.into_iter().for_each(|name| self.unknown.met(place, name));
+        names.into_iter().for_each(|name| self.unknown.count(place, name));
     }
 
     /// Counts a request for a permit to send to a rate-limited endpoint.
@@ -341,11 +342,11 @@
 
 /// Registers a metric. Names and labels are constants, so an error shows at the first
 /// start.
-fn register<T>(registry: &Registry, made: prometheus::Result<T>) -> T
+fn register<T>(registry: &Registry, metric: prometheus::Result<T>) -> T
 where
     T: prometheus::core::Collector + Clone + 'static,
 {
-    let made = made.expect("the name and labels of a metric are valid");
-    registry.register(Box::new(made.clone())).expect("each metric has its own name");
-    made
+    let metric = metric.expect("the name and labels of a metric are valid");
+    registry.register(Box::new(metric.clone())).expect("each metric has its own name");
+    metric
 }
--- a/crates/larkspring/src/direct/unknown.rs
+++ b/crates/larkspring/src/direct/unknown.rs
@@ -19,7 +19,7 @@
 
 /// The unrecognised names that a process has found.
 #[derive(Debug)]
-pub(super) struct UnknownWords {
+pub(super) struct UnknownNames {
     counter: IntCounterVec,
     names: Mutex<HashSet<(Place, String)>>,
 }
@@ -28,25 +28,25 @@
 /// uses no more memory.
 const MAX_NAMES: usize = 64;
 /// Limits the characters of a name that are kept.
-const MAX_NAME: usize = 40;
+const MAX_NAME_CHARS: usize = 40;
 /// The name under which further names are counted.
-const OTHERS: &str = "(others)";
+const OTHER_NAMES: &str = "(others)";
 
-impl UnknownWords {
+impl UnknownNames {
     /// Creates an empty record.
     pub fn new(counter: IntCounterVec) -> Self {
         Self { counter, names: Mutex::default() }
     }
 
     /// Counts a name, and logs it the first time.
-    pub fn met(&self, place: Place, name: &str) {
-        let name: String = name.chars().take(MAX_NAME).collect();
+    pub fn count(&self, place: Place, name: &str) {
+        let name: String = name.chars().take(MAX_NAME_CHARS).collect();
         let name = name.escape_default().to_string();
         let mut names = self.names.lock();
         let key = (place, name);
         let known = names.contains(&key);
         if !known && names.len() >= MAX_NAMES {
-            self.counter.with_label_values(&[place.name(), OTHERS]).inc();
+            self.counter.with_label_values(&[place.name(), OTHER_NAMES]).inc();
             return;
         }
         self.counter.with_label_values(&[place.name(), &key.1]).inc();
--- a/crates/larkspring/src/direct/watch.rs
+++ b/crates/larkspring/src/direct/watch.rs
@@ -20,11 +20,11 @@
 use crate::platform::PlatformError;
 
 /// First and longest pause after a failed call.
-const BACKOFF_FIRST: Duration = Duration::from_millis(150);
-const BACKOFF_MOST: Duration = Duration::from_millis(400);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(150);
+const MAX_BACKOFF: Duration = Duration::from_millis(400);
 /// Limits the time for which the other followers wait while one follower checks whether
 /// the store is available again, in case only that follower's calls fail.
-const WAIT_FOR_STORE: Duration = Duration::from_secs(2);
+const STORE_WAIT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Follows all kinds in the background, as long as the tasks are kept.
 pub fn follow(
@@ -81,18 +81,18 @@
 impl Follower {
     async fn run(mut self) {
         loop {
-            let end = self.follow().await;
-            let back = self.beliefs.store_back();
-            self.failed(&end);
+            let error = self.follow().await;
+            let available = self.beliefs.store_back();
+            self.record_failure(&error);
             let mut rng = Rng::new();
-            let wait = backoff(BACKOFF_FIRST, BACKOFF_MOST, self.failures, &mut rng);
+            let wait = backoff(INITIAL_BACKOFF, MAX_BACKOFF, self.failures, &mut rng);
             self.failures += 1;
             // A single call may fail by itself. While the store is unavailable, only one
             // follower sends calls.
             if self.kind == Kind::Routing || self.failures == 1 {
                 Timer::after(wait).await;
             } else {
-                within(WAIT_FOR_STORE, back).await;
+                within(STORE_WAIT_TIMEOUT, available).await;
             }
         }
     }
@@ -105,8 +105,8 @@
                 Some(after) => self.watch(after).await,
                 None => self.directory.read(Ask { kind: self.kind, after: None }).await,
             };
-            let taken = match read {
-                Ok(Read::State(state)) => self.take(&state),
+            let applied = match read {
+                Ok(Read::State(state)) => self.apply(&state),
                 Ok(Read::HistoryGone) => {
                     tracing::info!(event = "history gone", kind = self.kind.name());
                     after = None;
@@ -114,8 +114,8 @@
                 }
                 Err(e) => Err(e),
             };
-            let (at, via) = match taken {
-                Ok(taken) => taken,
+            let (at, via) = match applied {
+                Ok(applied) => applied,
                 Err(e) => return e,
             };
             after = Some(After { at, wait: self.pace.wait });
@@ -125,7 +125,7 @@
 
     /// Applies the result of a read; returns its point in the store's history and who
     /// answered.
-    fn take(&mut self, state: &State) -> Result<(StorePoint, Via), PlatformError> {
+    fn apply(&mut self, state: &State) -> Result<(StorePoint, Via), PlatformError> {
         let listed = self.directory.decode(self.kind, state)?;
         let now = Instant::now();
         self.failures = 0;
@@ -155,13 +155,13 @@
     }
 
     async fn watch(&self, after: After) -> Result<Read, PlatformError> {
-        let away = async {
+        let unavailable = async {
             self.beliefs.store_lost().await;
             let cause = "the store is unavailable to other calls".into();
             Err(PlatformError::NoEffect("watch objects", cause))
         };
         let ask = Ask { kind: self.kind, after: Some(after) };
-        future::or(self.directory.read(ask), away).await
+        future::or(self.directory.read(ask), unavailable).await
     }
 
     fn pause(&self, via: Via) -> Duration {
@@ -171,7 +171,7 @@
         }
     }
 
-    fn failed(&self, e: &PlatformError) {
+    fn record_failure(&self, e: &PlatformError) {
         self.stats.store_call(self.kind.name(), false);
         if logs::allows(Line::Belief) {
             let age = self.beliefs.proof_age(self.kind).map(|age| age.as_millis() as u64);
