--- a/crates/larkspring/src/direct/agent/controller.rs
+++ b/crates/larkspring/src/direct/agent/controller.rs
@@ -236,7 +236,7 @@
                 match result {
                     CommandResult::Report(Ok(report)) => self.apply_report(now, report),
                     CommandResult::Report(Err(cause)) => self.report_failed(now, &cause),
-                    CommandResult::RunName(named) => self.apply_run_name(now, named),
+                    CommandResult::RunName(name) => self.apply_run_name(now, name),
                     CommandResult::Order(order, end) => {
                         self.apply_order_result(now, order, end)
                     }
@@ -278,8 +278,8 @@
                 self.forward_crash_reports(findings);
             }
             EntryMessage::Findings(received) => {
-                let new = self.findings.learn(&received);
-                self.forward_crash_reports(new);
+                let new_reports = self.findings.learn(&received);
+                self.forward_crash_reports(new_reports);
             }
         }
     }
--- a/crates/larkspring/src/direct/agent/driver.rs
+++ b/crates/larkspring/src/direct/agent/driver.rs
@@ -55,7 +55,7 @@
     protocol: Arc<dyn Protocol>,
     stats: Arc<Stats>,
     conn: Option<Conn>,
-    time: CallTime,
+    answer_time: CallTime,
     events: Sender<Event>,
     /// The kind of call whose answer last advertised a rate: answers of other kinds may
     /// never state a rate, so their lack of one does not end the limit.
@@ -78,13 +78,13 @@
     events: Sender<Event>,
 ) -> Sender<Command> {
     let (tx, rx) = channel::bounded(1);
-    let time = CallTime::new(ANSWER_TIMEOUT);
+    let answer_time = CallTime::new(ANSWER_TIMEOUT);
     let driver = Driver {
         engine,
         protocol,
         stats,
         conn: None,
-        time,
+        answer_time,
         events,
         rate_advertised_by: None,
     };
@@ -95,7 +95,7 @@
 impl Driver {
     async fn run(mut self, commands: Receiver<Command>) {
         while let Ok(command) = commands.recv().await {
-            let driven = match command {
+            let result = match command {
                 Command::Report => CommandResult::Report(self.report().await),
                 Command::Identify(path) => {
                     CommandResult::RunName(self.identify(&path).await)
@@ -105,7 +105,7 @@
                     CommandResult::Order(order, end)
                 }
             };
-            if self.events.send(Event::CommandDone(driven)).await.is_err() {
+            if self.events.send(Event::CommandDone(result)).await.is_err() {
                 return;
             }
         }
@@ -135,10 +135,10 @@
         req: Request<Bytes>,
     ) -> Result<Response<Bytes>, String> {
         let sent_at = Instant::now();
-        let res = self.call(kind, req, self.time.limit()).await;
+        let res = self.call(kind, req, self.answer_time.limit()).await;
         match &res {
-            Ok(_) => self.time.answered(sent_at.elapsed()),
-            Err(_) => self.time.lost(),
+            Ok(_) => self.answer_time.answered(sent_at.elapsed()),
+            Err(_) => self.answer_time.lost(),
         }
         res
     }
@@ -160,8 +160,8 @@
             let res = res.map_err(|e| e.to_string())?;
             Ok((res, conn))
         };
-        let got: Option<Result<_, String>> = within(limit, work).await;
-        let (res, conn) = got.ok_or("no answer in time")??;
+        let result: Option<Result<_, String>> = within(limit, work).await;
+        let (res, conn) = result.ok_or("no answer in time")??;
         self.conn = Some(conn);
         self.forward_notice(kind, sent_at, &res);
         Ok(res)
--- a/crates/larkspring/src/direct/agent/mod.rs
+++ b/crates/larkspring/src/direct/agent/mod.rs
@@ -68,12 +68,12 @@
         let state = StateCache::new(directory, stats.clone(), &cfg.process);
         let (metrics_stats, metrics_findings, metrics_state) =
             (stats.clone(), findings.clone(), state.clone());
-        let answer = move |_: &str| {
+        let handler = move |_: &str| {
             metrics_findings.show();
             metrics_state.write_metrics();
             (StatusCode::OK, metrics_stats.text())
         };
-        let served = side::serve(metrics, Arc::new(answer)).await;
+        let served = side::serve(metrics, Arc::new(handler)).await;
         let served = served.map_err(|e| StartError::Listen("metrics", metrics, e))?;
         tracing::info!(
             event = "start",
--- a/crates/larkspring/src/direct/agent/orders.rs
+++ b/crates/larkspring/src/direct/agent/orders.rs
@@ -126,8 +126,8 @@
     /// known: with another adapter in this slot the engine would hold one too many.
     fn cancel_unneeded_loads(&mut self) {
         while let Some(Change::Load(target)) = self.queued_changes.front() {
-            let unclear = self.engine.unanswered_load.as_ref() == Some(target);
-            if unclear || self.slots.demand(target).is_some() {
+            let may_be_accepted = self.engine.unanswered_load.as_ref() == Some(target);
+            if may_be_accepted || self.slots.demand(target).is_some() {
                 return;
             }
             self.slots.not_loaded(target);
@@ -248,13 +248,13 @@
         name: Result<Incarnation, String>,
     ) {
         match name {
-            Ok(named) => {
+            Ok(name) => {
                 let engine = &mut self.engine;
-                if engine.previous_name.as_ref() == Some(&named) {
+                if engine.previous_name.as_ref() == Some(&name) {
                     engine.late_order_until =
                         engine.last_unanswered_at.map(|at| at + MAX_ORDER_DELAY);
                 }
-                engine.run_name = Some(named);
+                engine.run_name = Some(name);
                 self.update_slot_limit(now);
             }
             Err(cause) => {
--- a/crates/larkspring/src/direct/agent/state_cache.rs
+++ b/crates/larkspring/src/direct/agent/state_cache.rs
@@ -32,7 +32,7 @@
     store: StoreReader,
     stats: Arc<Stats>,
     paces: [StorePace; Kind::ALL.len()],
-    kinds: [Feed; Kind::ALL.len()],
+    feeds: [Feed; Kind::ALL.len()],
 }
 
 /// The cached state of one kind of items, and its change notification.
@@ -96,7 +96,7 @@
             store: StoreReader::new(directory, stats.clone()),
             stats,
             paces: Kind::ALL.map(pace),
-            kinds: Default::default(),
+            feeds: Default::default(),
         })
     }
 
@@ -139,7 +139,7 @@
     }
 
     fn feed(&self, kind: Kind) -> &Feed {
-        &self.kinds[kind as usize]
+        &self.feeds[kind as usize]
     }
 
     /// Reads the store as long as entries read from this agent.
@@ -220,8 +220,8 @@
         changed
     }
 
-    /// The point up to which an entry knows the state; a request without an epoch means
-    /// the present epoch.
+    /// Returns the point up to which an entry knows the state; a request without an epoch
+    /// means the present epoch.
     fn known_point(&self, req: &wire::ReadRequest) -> StorePoint {
         StorePoint::new(req.epoch.unwrap_or(self.at.epoch()), req.after)
     }
--- a/crates/larkspring/src/direct/beliefs.rs
+++ b/crates/larkspring/src/direct/beliefs.rs
@@ -26,8 +26,8 @@
     members: Mutex<Members>,
     store: Mutex<StoreHealth>,
     changed: Event,
-    store_back: Event,
-    store_lost: Event,
+    store_recovered: Event,
+    store_unavailable: Event,
 }
 
 /// The freshness proof of one kind of state.
@@ -36,7 +36,7 @@
     /// A moment at which the store held nothing newer.
     at: Option<Moment>,
     /// Whether a newer state was read that is invalid, so that nothing is proved.
-    is_in_doubt: bool,
+    newest_is_invalid: bool,
     /// Whether the store was restored from a backup that lacks the routing in force.
     is_behind: bool,
 }
@@ -61,8 +61,8 @@
             members: Mutex::default(),
             store: Mutex::default(),
             changed: Event::new(),
-            store_back: Event::new(),
-            store_lost: Event::new(),
+            store_recovered: Event::new(),
+            store_unavailable: Event::new(),
         }
     }
 }
@@ -83,14 +83,14 @@
     /// state.
     pub fn proved(&self, kind: Kind, at: Moment) {
         let mut proof = self.proof(kind).lock();
-        if !proof.is_in_doubt && !proof.is_behind {
+        if !proof.newest_is_invalid && !proof.is_behind {
             proof.at = proof.at.max(Some(at));
         }
     }
 
     /// Records whether the newest routing that was read is invalid.
-    pub fn routing_in_doubt(&self, in_doubt: bool) {
-        self.proof(Kind::Routing).lock().is_in_doubt = in_doubt;
+    pub fn routing_in_doubt(&self, is_invalid: bool) {
+        self.proof(Kind::Routing).lock().newest_is_invalid = is_invalid;
     }
 
     fn proof(&self, kind: Kind) -> &Mutex<Proof> {
@@ -132,13 +132,13 @@
 
     /// Notifies when the store is available again.
     pub fn store_back(&self) -> EventListener {
-        self.store_back.listen()
+        self.store_recovered.listen()
     }
 
     /// Returns once the store is unavailable.
     pub async fn store_lost(&self) {
         loop {
-            let lost = self.store_lost.listen();
+            let lost = self.store_unavailable.listen();
             if self.store_away_since().is_some() {
                 return;
             }
@@ -197,7 +197,7 @@
         if store.unavailable_since.is_none() {
             store.unavailable_since = Some(now);
             logs::dependency("store", false, cause);
-            self.store_lost.notify(usize::MAX);
+            self.store_unavailable.notify(usize::MAX);
         }
     }
 
@@ -213,7 +213,7 @@
         if store.unavailable_since.take().is_some() {
             store.recovered_at = Some(now);
             logs::dependency("store", true, "");
-            self.store_back.notify(usize::MAX);
+            self.store_recovered.notify(usize::MAX);
         }
     }
 
