--- /dev/null
+++ b/crates/larkspring/src/direct/agent/controller.rs
@@ -0,0 +1,470 @@
+//! The state of an engine's adapters and of the entries' holds on them, owned by one
+//! task.
+
+use std::collections::{HashMap, VecDeque};
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use futures_lite::future;
+use larkspring_core::fleet::availability::Notice;
+use larkspring_core::fleet::choose::copy_pays;
+use larkspring_core::fleet::demand::Demand;
+use larkspring_core::fleet::mechanisms::Mechanism;
+use larkspring_core::fleet::permits::{self, Permits, Verdict};
+use larkspring_core::fleet::rate::Rate;
+use larkspring_core::fleet::reading::Unread;
+use larkspring_core::ids::{AttemptId, HallId, Target, TargetHash};
+use larkspring_core::limits::home::{Ask, Home};
+use larkspring_core::limits::presence;
+use larkspring_core::outcome::Refusal;
+use larkspring_core::slots::{Action, Eviction, Limits, LoadOrder, Slots, Waiting};
+use larkspring_proto::residency as wire;
+use larkspring_proto::residency::from_agent::Kind as AgentMessage;
+use larkspring_proto::residency::from_entry::Kind as EntryMessage;
+use smol::channel::{Receiver, Sender};
+use smol::Timer;
+
+use super::driver::{Command, CommandResult};
+use super::orders::Engine;
+use super::publish::{EngineState, LastUpdate, MIN_PUBLISH_INTERVAL, PUBLISH_INTERVAL};
+use crate::direct::cfg::AgentCfg;
+use crate::direct::edge::Change;
+use crate::direct::limits::{read_want, write_grant};
+use crate::direct::logs::{self, Line};
+use crate::direct::quarantine::{read_end, Findings};
+use crate::direct::stats::Stats;
+
+/// Number of an entry's connection, unique during this agent's life.
+pub(super) type EntryNumber = u64;
+
+/// An input of the controller.
+#[derive(Debug)]
+pub(super) enum Event {
+    EntryConnected(EntryNumber, Sender<wire::FromAgent>),
+    EntryMessage(EntryNumber, EntryMessage),
+    EntryDisconnected(EntryNumber),
+    CommandDone(CommandResult),
+    /// A notice from the headers of an engine's answer; sent ahead of the answer's own
+    /// event.
+    EngineNotice {
+        sent_at: Instant,
+        notice: Notice,
+    },
+    /// Crash reports to be forwarded to all entries.
+    CrashReports(Vec<wire::Finding>),
+}
+
+/// Decides which orders the engine gets, and answers the entries.
+pub(super) struct Controller {
+    pub(super) holder: String,
+    pub(super) slots: Slots,
+    pub(super) commands: Sender<Command>,
+    pub(super) stats: Arc<Stats>,
+    pub(super) entries: HashMap<EntryNumber, EntryConnection>,
+    holds: HashMap<(EntryNumber, u64), AttemptId>,
+    holds_by_attempt: HashMap<AttemptId, (EntryNumber, u64)>,
+    /// Requests that wait for their adapter.
+    waiting: HashMap<AttemptId, WaitingRequest>,
+    /// Granted requests by hall and adapter.
+    demand: Demand<(HallId, TargetHash)>,
+    hall: HallId,
+    next_attempt: AttemptId,
+    /// The adapters and base models that the engine may hold, by the highest routing
+    /// version that an entry sent.
+    pub(super) declared: wire::Engine,
+    pub(super) engine: Engine,
+    /// Changes that are decided but not ordered yet.
+    pub(super) queued_changes: VecDeque<Change>,
+    /// Whether the driver is executing a command.
+    pub(super) driver_busy: bool,
+    pub(super) next_report_at: Instant,
+    pub(super) last_update: LastUpdate,
+    /// Prefill backlog: prompt tokens of the granted requests that the engine has not
+    /// processed yet.
+    pub(super) prefill_backlog: Unread,
+    /// Buckets of the workspaces that this agent owns.
+    limits: Home,
+    /// Permits for the runs of which this agent is the issuer.
+    pub(super) permits: Permits,
+    /// Crash reports known to this agent.
+    findings: Arc<Findings>,
+    /// Requests that were running before this agent started, on adapters that the engine
+    /// has not reported yet.
+    pub(super) unreported_requests: Vec<(AttemptId, Target)>,
+}
+
+/// A request that waits for its adapter.
+struct WaitingRequest {
+    unread_tokens: u32,
+    adapter: TargetHash,
+}
+
+/// A connected entry.
+pub(super) struct EntryConnection {
+    tx: Sender<wire::FromAgent>,
+    pub(super) hall: HallId,
+    /// Whether the entry has not received the whole state yet.
+    pub(super) is_new: bool,
+}
+
+/// Consecutive unanswered report requests after which the engine counts as failed.
+pub(super) const MAX_REPORT_FAILURES: u32 = 2;
+/// Limits the queued messages of an entry; its connection is closed beyond that.
+const MAX_QUEUED_MESSAGES: usize = 1024;
+/// Limits the adapter loads in progress at an engine.
+const MAX_CONCURRENT_LOADS: usize = 4;
+/// Limits the requests that wait for adapters.
+const MAX_WAITING_REQUESTS: usize = 1024;
+/// Wait after which a request may block new use of a busy adapter to free its slot.
+const RETIRE_ADAPTER_AFTER: Duration = Duration::from_millis(150);
+
+impl Controller {
+    /// Creates the controller of an engine whose state is unknown.
+    pub fn new(
+        cfg: &AgentCfg,
+        commands: Sender<Command>,
+        stats: Arc<Stats>,
+        findings: Arc<Findings>,
+    ) -> Self {
+        let now = Instant::now();
+        let uses = |mechanism| cfg.without.uses(mechanism);
+        let limits = Limits {
+            slots: 0,
+            max_running: usize::MAX,
+            max_waiting: MAX_WAITING_REQUESTS,
+            max_loading: MAX_CONCURRENT_LOADS,
+            paced: uses(Mechanism::PacedFetches),
+            patience: if uses(Mechanism::Retiring) {
+                RETIRE_ADAPTER_AFTER
+            } else {
+                Duration::MAX
+            },
+            settle: Duration::ZERO,
+            eviction: Eviction::Heat,
+            order: match uses(Mechanism::WorthOrder) {
+                true => LoadOrder::Worth,
+                false => LoadOrder::Urgency,
+            },
+        };
+        Self {
+            holder: cfg.process.vm.to_string(),
+            slots: Slots::new(limits),
+            commands,
+            stats,
+            entries: HashMap::new(),
+            holds: HashMap::new(),
+            holds_by_attempt: HashMap::new(),
+            next_attempt: 1,
+            declared: wire::Engine::default(),
+            engine: Engine::default(),
+            queued_changes: VecDeque::new(),
+            driver_busy: false,
+            next_report_at: now,
+            last_update: LastUpdate {
+                state: EngineState::default(),
+                at: now,
+                due: false,
+                prefill_backlog: Unread::new(now, 0),
+            },
+            prefill_backlog: Unread::new(now, 0),
+            waiting: HashMap::new(),
+            demand: Demand::default(),
+            hall: cfg.process.hall.clone(),
+            limits: Home::new(cfg.process.limits),
+            permits: Permits::default(),
+            findings,
+            unreported_requests: Vec::new(),
+        }
+    }
+
+    /// Handles events until the channel is closed.
+    pub async fn run(mut self, events: Receiver<Event>) {
+        loop {
+            let wakeup = self.next_wakeup();
+            let timer = async {
+                Timer::at(wakeup).await;
+                None
+            };
+            let event = async { Some(events.recv().await) };
+            match future::or(event, timer).await {
+                Some(Ok(event)) => self.handle_event(Instant::now(), event),
+                Some(Err(_)) => return,
+                None => {}
+            }
+            while let Ok(event) = events.try_recv() {
+                self.handle_event(Instant::now(), event);
+            }
+            let now = Instant::now();
+            self.schedule(now);
+            self.send_next_command(now);
+            self.publish(now);
+        }
+    }
+
+    fn next_wakeup(&self) -> Instant {
+        let publish_at = match self.last_update.due {
+            true => self.last_update.at + MIN_PUBLISH_INTERVAL,
+            false => self.last_update.at + PUBLISH_INTERVAL,
+        };
+        let name_retry =
+            self.engine.name_retry_at.filter(|_| !self.queued_changes.is_empty());
+        match self.driver_busy {
+            true => publish_at,
+            false => {
+                publish_at.min(self.next_report_at).min(name_retry.unwrap_or(publish_at))
+            }
+        }
+    }
+
+    fn handle_event(&mut self, now: Instant, event: Event) {
+        match event {
+            Event::EntryConnected(number, tx) => {
+                let connection =
+                    EntryConnection { tx, hall: HallId::default(), is_new: true };
+                self.entries.insert(number, connection);
+            }
+            Event::EntryMessage(number, message) => {
+                self.handle_message(now, number, message)
+            }
+            Event::EntryDisconnected(number) => self.remove_entry(now, number),
+            Event::CrashReports(findings) => self.forward_crash_reports(findings),
+            Event::EngineNotice { sent_at, notice } => {
+                self.apply_notice(now, sent_at, notice)
+            }
+            Event::CommandDone(result) => {
+                self.driver_busy = false;
+                match result {
+                    CommandResult::Report(Ok(report)) => self.apply_report(now, report),
+                    CommandResult::Report(Err(cause)) => self.report_failed(now, &cause),
+                    CommandResult::RunName(name) => self.apply_run_name(now, name),
+                    CommandResult::Order(order, end) => {
+                        self.apply_order_result(now, order, end)
+                    }
+                }
+            }
+        }
+    }
+
+    fn handle_message(
+        &mut self,
+        now: Instant,
+        number: EntryNumber,
+        message: EntryMessage,
+    ) {
+        match message {
+            EntryMessage::Hello(hello) => {
+                if let Some(entry) = self.entries.get_mut(&number) {
+                    entry.hall = hello.hall.as_str().into();
+                }
+                if let Some(findings) = self.findings.all() {
+                    self.send(number, AgentMessage::Findings(findings));
+                }
+                logs::dependency(&format!("entry {}", hello.entry), true, "");
+            }
+            EntryMessage::Engine(declared) => {
+                if declared.routing_version > self.declared.routing_version {
+                    self.declared = declared;
+                    self.update_slot_limit(now);
+                    self.next_report_at = now;
+                }
+            }
+            EntryMessage::Hold(hold) => self.hold(now, number, hold),
+            EntryMessage::Release(release) => self.release(now, (number, release.id)),
+            EntryMessage::Reserve(req) => self.grant_units(now, number, &req),
+            EntryMessage::Permit(req) => self.answer_permit_request(now, number, &req),
+            EntryMessage::EndedUnder(crashes) => {
+                let record = |e: &wire::End| self.findings.ended(e.content, read_end(e));
+                let findings = crashes.ends.iter().filter_map(record).collect();
+                self.forward_crash_reports(findings);
+            }
+            EntryMessage::Findings(received) => {
+                let new_reports = self.findings.learn(&received);
+                self.forward_crash_reports(new_reports);
+            }
+        }
+    }
+
+    /// Forwards crash reports to all entries.
+    fn forward_crash_reports(&mut self, findings: Vec<wire::Finding>) {
+        if findings.is_empty() {
+            return;
+        }
+        let numbers: Vec<_> = self.entries.keys().copied().collect();
+        for number in numbers {
+            let findings = findings.clone();
+            self.send(number, AgentMessage::Findings(wire::Findings { findings }));
+        }
+    }
+
+    /// Answers a request for units, as the bucket owner.
+    fn grant_units(&mut self, now: Instant, number: EntryNumber, req: &wire::Reserve) {
+        let requests: Vec<_> = req.wants.iter().map(read_want).collect();
+        let told = presence::Told {
+            time: Duration::from_millis(req.told_ms),
+            joined: req.joined,
+        };
+        let entries = self.entries.len().max(req.entries as usize);
+        let grants = self.limits.ask(now, &Ask { told, entries, wants: &requests });
+        if !grants.is_empty() {
+            let grants = grants.iter().map(write_grant).collect();
+            self.send(number, AgentMessage::Reserved(wire::Reserved { grants }));
+        }
+    }
+
+    /// Answers a request for a permit, as the permit issuer of a rate-limited run.
+    fn answer_permit_request(
+        &mut self,
+        now: Instant,
+        number: EntryNumber,
+        req: &wire::PermitAsk,
+    ) {
+        let ask = permits::Ask {
+            run: req.run,
+            rate: Rate::from_millis(req.rate_millis),
+            age: Duration::from_millis(req.age_ms),
+            home: match req.second {
+                true => permits::Home::Second,
+                false => permits::Home::First,
+            },
+        };
+        let wait_ms = match self.permits.ask(now, &ask) {
+            Verdict::Granted => 0,
+            Verdict::Denied(wait) => wait.as_millis().max(1) as u64,
+        };
+        self.send(
+            number,
+            AgentMessage::Permitted(wire::PermitReply { id: req.id, wait_ms }),
+        );
+    }
+
+    fn hold(&mut self, now: Instant, number: EntryNumber, hold: wire::Hold) {
+        let id = self.next_attempt;
+        self.next_attempt += 1;
+        let target = Target::new(&hold.adapter, &hold.version);
+        self.holds.insert((number, hold.id), id);
+        self.holds_by_attempt.insert(id, (number, hold.id));
+        if hold.in_use {
+            if !self.slots.adopt(now, id, &target) {
+                self.unreported_requests.push((id, target));
+            }
+            return;
+        }
+        let req = Waiting {
+            target,
+            priority: hold.priority,
+            since: now,
+            deadline: now + Duration::from_millis(hold.wait_ms),
+            due: now + Duration::from_millis(hold.in_time_ms),
+            worth: hold.worth,
+        };
+        let adapter = req.target.hash();
+        self.waiting
+            .insert(id, WaitingRequest { unread_tokens: hold.unread_tokens, adapter });
+        if let Err(refusal) = self.slots.admit(now, id, req) {
+            self.refuse(id, &refusal, &hold.request);
+        }
+    }
+
+    fn release(&mut self, now: Instant, key: (EntryNumber, u64)) {
+        let Some(id) = self.holds.remove(&key) else { return };
+        self.holds_by_attempt.remove(&id);
+        self.waiting.remove(&id);
+        self.unreported_requests.retain(|(waiting, _)| *waiting != id);
+        if !self.slots.abandon(id) {
+            self.slots.ended(now, id);
+        }
+    }
+
+    fn remove_entry(&mut self, now: Instant, number: EntryNumber) {
+        if self.entries.remove(&number).is_none() {
+            return;
+        }
+        let keys: Vec<_> =
+            self.holds.keys().filter(|(n, _)| *n == number).copied().collect();
+        logs::dependency(
+            &format!("entry connection {number}"),
+            false,
+            "the connection has ended",
+        );
+        for key in keys {
+            self.release(now, key);
+        }
+    }
+
+    /// Carries out the actions of the slots; loads and unloads are queued for the driver.
+    fn schedule(&mut self, now: Instant) {
+        for action in self.slots.schedule(now) {
+            match action {
+                Action::Start(id) => self.grant(now, id),
+                Action::Refuse(id, refusal) => self.refuse(id, &refusal, ""),
+                Action::Load(target) => {
+                    self.queued_changes.push_back(Change::Load(target))
+                }
+                Action::Unload(target) => {
+                    self.queued_changes.push_front(Change::Unload(target))
+                }
+            }
+        }
+    }
+
+    fn grant(&mut self, now: Instant, id: AttemptId) {
+        let Some(waiting) = self.waiting.remove(&id) else { return };
+        self.prefill_backlog.add(now, waiting.unread_tokens);
+        let Some((number, hold)) = self.holds_by_attempt.get(&id).copied() else {
+            return;
+        };
+        let copy_pays = self.copy_pays(now, number, waiting.adapter);
+        self.send(number, AgentMessage::Granted(wire::Granted { id: hold, copy_pays }));
+    }
+
+    /// Counts a request and returns whether its hall should hold the adapter too.
+    ///
+    /// An agent sees all requests for the adapters that it holds. An entry sees only its
+    /// share of its hall's requests: with 13 entries, each would have to count a single
+    /// request as thirteen.
+    fn copy_pays(
+        &mut self,
+        now: Instant,
+        number: EntryNumber,
+        adapter: TargetHash,
+    ) -> bool {
+        let Some(entry) = self.entries.get(&number) else { return false };
+        if entry.hall == self.hall {
+            return false;
+        }
+        copy_pays(self.demand.count(now, &(entry.hall.clone(), adapter)))
+    }
+
+    fn refuse(&mut self, id: AttemptId, refusal: &Refusal, request: &str) {
+        self.waiting.remove(&id);
+        let Some(key) = self.holds_by_attempt.remove(&id) else { return };
+        self.holds.remove(&key);
+        let retry_after = refusal.retry_after.unwrap_or_default();
+        if logs::allows(Line::Unserved) {
+            tracing::info!(
+                event = "hold refused",
+                request,
+                reason = refusal.message,
+                run = self.engine.run.as_deref(),
+            );
+        }
+        self.send(
+            key.0,
+            AgentMessage::Refused(wire::Refused {
+                id: key.1,
+                reason: refusal.message.clone(),
+                retry_after_ms: retry_after.as_millis() as u64,
+            }),
+        );
+    }
+
+    /// Sends a message to an entry; closes the connection if the entry's queue is too
+    /// long.
+    pub(super) fn send(&mut self, number: EntryNumber, kind: AgentMessage) {
+        let Some(entry) = self.entries.get(&number) else { return };
+        let sent = entry.tx.try_send(wire::FromAgent { kind: Some(kind) });
+        if sent.is_err() || entry.tx.len() > MAX_QUEUED_MESSAGES {
+            entry.tx.close();
+        }
+    }
+}
--- a/crates/larkspring/src/direct/agent/driver.rs
+++ b/crates/larkspring/src/direct/agent/driver.rs
@@ -1,4 +1,4 @@
-//! Calls to the engine beside the agent, one at a time on a kept connection.
+//! Calls to the engine beside the agent, one at a time on a persistent connection.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,53 +12,54 @@
 use larkspring_core::ids::Incarnation;
 use smol::channel::{self, Receiver, Sender};
 
-use super::keeper::Event;
+use super::controller::Event;
 use crate::direct::conn::Conn;
 use crate::direct::edge::{Order, OrderEnd, Protocol, Report};
 use crate::direct::stats::Stats;
 use crate::direct::unknown::Place;
 use crate::exec::{self, within};
 
-/// What the driver is asked to do.
+/// A command for the driver.
 #[derive(Debug)]
 pub(super) enum Command {
-    /// Ask for the report.
+    /// Requests the engine's report.
     Report,
-    /// Ask for the run at a path.
+    /// Requests the run's name, at a health path.
     Identify(String),
-    /// Give an order.
+    /// Sends an order.
     Order(Order),
 }
 
-/// What came of a command; the text says why there is no answer.
+/// The result of a command; the error text says why there is no answer.
 #[derive(Debug)]
-pub(super) enum Driven {
+pub(super) enum CommandResult {
     Report(Result<Report, String>),
-    Identified(Result<Incarnation, String>),
+    RunName(Result<Incarnation, String>),
     Order(Order, Result<OrderEnd, String>),
 }
 
-/// Time for the answer to a report or an order. The engine is on the same VM and answers
-/// within 1 to 3 ms; a busy VM takes ten times as long. Nothing else is ordered meanwhile,
-/// so a lost answer holds up all other loads for this time: of 11,000 orders 547 were not
-/// answered while each was waited for 250 ms, and single loads waited 1.6 s behind them.
-const ANSWER: CallBounds =
+/// Time limit for the answer to a report request or an order. The engine is on the same
+/// VM and answers within 1 to 3 ms; a busy VM takes ten times as long. No other order is
+/// sent meanwhile, so a lost answer delays all other loads by this time: with a fixed
+/// limit of 250 ms, 547 of 11,000 orders were not answered, and single loads waited 1.6 s
+/// behind them.
+const ANSWER_TIMEOUT: CallBounds =
     CallBounds { least: Duration::from_millis(30), most: Duration::from_millis(250) };
-/// Time for the engine to tell its run: that waits for a place in its batch.
-const IDENTIFY: Duration = Duration::from_millis(250);
-/// Bytes of a report.
-const MAX_REPORT: usize = 1024 * 1024;
+/// Time limit for the health check: its answer waits for a batch slot in the engine.
+const HEALTH_TIMEOUT: Duration = Duration::from_millis(250);
+/// Limits the size of a report in bytes.
+const MAX_REPORT_BYTES: usize = 1024 * 1024;
 
 struct Driver {
     engine: SocketAddr,
     protocol: Arc<dyn Protocol>,
     stats: Arc<Stats>,
     conn: Option<Conn>,
-    time: CallTime,
+    answer_time: CallTime,
     events: Sender<Event>,
-    /// The kind of call whose answer named a rate last: silence of other answers may be no
-    /// word of the engine.
-    rate_named_by: Option<Call>,
+    /// The kind of call whose answer last advertised a rate: answers of other kinds may
+    /// never state a rate, so their lack of one does not end the limit.
+    rate_advertised_by: Option<Call>,
 }
 
 /// A kind of call to the engine.
@@ -69,7 +70,7 @@
     Order,
 }
 
-/// Starts the driver of an engine; it ends with the returned sender.
+/// Starts the driver of an engine; the driver ends when the returned sender is dropped.
 pub(super) fn start(
     engine: SocketAddr,
     protocol: Arc<dyn Protocol>,
@@ -77,9 +78,16 @@
     events: Sender<Event>,
 ) -> Sender<Command> {
     let (tx, rx) = channel::bounded(1);
-    let time = CallTime::new(ANSWER);
-    let driver =
-        Driver { engine, protocol, stats, conn: None, time, events, rate_named_by: None };
+    let answer_time = CallTime::new(ANSWER_TIMEOUT);
+    let driver = Driver {
+        engine,
+        protocol,
+        stats,
+        conn: None,
+        answer_time,
+        events,
+        rate_advertised_by: None,
+    };
     exec::spawn(driver.run(rx)).detach();
     tx
 }
@@ -87,96 +95,98 @@
 impl Driver {
     async fn run(mut self, commands: Receiver<Command>) {
         while let Ok(command) = commands.recv().await {
-            let driven = match command {
-                Command::Report => Driven::Report(self.report().await),
-                Command::Identify(path) => Driven::Identified(self.identify(&path).await),
+            let result = match command {
+                Command::Report => CommandResult::Report(self.report().await),
+                Command::Identify(path) => {
+                    CommandResult::RunName(self.identify(&path).await)
+                }
                 Command::Order(order) => {
                     let end = self.order(&order).await;
-                    Driven::Order(order, end)
+                    CommandResult::Order(order, end)
                 }
             };
-            if self.events.send(Event::Driven(driven)).await.is_err() {
+            if self.events.send(Event::CommandDone(result)).await.is_err() {
                 return;
             }
         }
     }
 
     async fn report(&mut self) -> Result<Report, String> {
-        let res = self.timed(Call::Report, self.protocol.report()).await?;
+        let res = self.call_adaptive(Call::Report, self.protocol.report()).await?;
         self.protocol.read_report(&res).map_err(|e| e.to_string())
     }
 
     async fn identify(&mut self, path: &str) -> Result<Incarnation, String> {
-        let req = self.protocol.health(path).ok_or("the health path can't be read")?;
-        let res = self.call(Call::Health, req, IDENTIFY).await?;
+        let req = self.protocol.health(path).ok_or("the health path is not valid")?;
+        let res = self.call(Call::Health, req, HEALTH_TIMEOUT).await?;
         let run = self.protocol.read_health(&res);
-        run.ok_or_else(|| format!("answered {} without its run", res.status()))
+        run.ok_or_else(|| format!("answered {} without a run name", res.status()))
     }
 
     async fn order(&mut self, order: &Order) -> Result<OrderEnd, String> {
-        let res = self.timed(Call::Order, self.protocol.order(order)).await?;
+        let res = self.call_adaptive(Call::Order, self.protocol.order(order)).await?;
         Ok(self.protocol.read_order(&res))
     }
 
-    /// Calls the engine for as long as its answers usually take.
-    async fn timed(
+    /// Calls the engine with the time limit that its recent answers call for.
+    async fn call_adaptive(
         &mut self,
         kind: Call,
         req: Request<Bytes>,
     ) -> Result<Response<Bytes>, String> {
-        let asked = Instant::now();
-        let res = self.call(kind, req, self.time.limit()).await;
+        let sent_at = Instant::now();
+        let res = self.call(kind, req, self.answer_time.limit()).await;
         match &res {
-            Ok(_) => self.time.answered(asked.elapsed()),
-            Err(_) => self.time.lost(),
+            Ok(_) => self.answer_time.answered(sent_at.elapsed()),
+            Err(_) => self.answer_time.lost(),
         }
         res
     }
 
-    /// Calls the engine; a connection that brought no answer is closed.
+    /// Calls the engine; closes the connection if there is no answer.
     async fn call(
         &mut self,
         kind: Call,
         req: Request<Bytes>,
         limit: Duration,
     ) -> Result<Response<Bytes>, String> {
-        let (engine, asked) = (self.engine, Instant::now());
+        let (engine, sent_at) = (self.engine, Instant::now());
         let work = async {
-            let mut conn = match kept(self.conn.take()).await {
+            let mut conn = match reuse(self.conn.take()).await {
                 Some(conn) => conn,
                 None => Conn::open(engine, limit).await.map_err(|e| e.to_string())?,
             };
-            let res = conn.fetch(engine, req, MAX_REPORT).await;
+            let res = conn.fetch(engine, req, MAX_REPORT_BYTES).await;
             let res = res.map_err(|e| e.to_string())?;
             Ok((res, conn))
         };
-        let got: Option<Result<_, String>> = within(limit, work).await;
-        let (res, conn) = got.ok_or("no answer in time")??;
+        let result: Option<Result<_, String>> = within(limit, work).await;
+        let (res, conn) = result.ok_or("no answer in time")??;
         self.conn = Some(conn);
-        self.notice(kind, asked, &res);
+        self.forward_notice(kind, sent_at, &res);
         Ok(res)
     }
 
-    /// Tells the keeper what an answer says of the engine.
-    fn notice(&mut self, kind: Call, asked: Instant, res: &Response<Bytes>) {
+    /// Sends the notice from an answer's headers to the controller.
+    fn forward_notice(&mut self, kind: Call, sent_at: Instant, res: &Response<Bytes>) {
         let unknown = self.protocol.unknown_words(res.headers());
         self.stats.unknown_words(Place::Answer, &unknown);
         let mut notice = self.protocol.notice(res.status(), res.headers());
         match notice.rate {
-            RateWord::Named(_) => self.rate_named_by = Some(kind),
-            RateWord::Silent if self.rate_named_by == Some(kind) => {
-                self.rate_named_by = None;
+            RateWord::Named(_) => self.rate_advertised_by = Some(kind),
+            RateWord::Silent if self.rate_advertised_by == Some(kind) => {
+                self.rate_advertised_by = None;
             }
             _ if notice.is_empty() => return,
             _ => notice = notice.without_silence(),
         }
-        // The keeper lives as long as the agent.
-        let _ = self.events.try_send(Event::Noticed { asked, notice });
+        // The controller lives as long as the agent.
+        let _ = self.events.try_send(Event::EngineNotice { sent_at, notice });
     }
 }
 
-/// Returns a kept connection, unless the engine has closed it.
-async fn kept(conn: Option<Conn>) -> Option<Conn> {
+/// Returns the idle connection, unless the engine has closed it.
+async fn reuse(conn: Option<Conn>) -> Option<Conn> {
     let mut conn = conn?;
     let ready = poll_fn(|cx| std::task::Poll::Ready(conn.is_ready(cx))).await;
     ready.then_some(conn)
--- a/crates/larkspring/src/direct/agent/mod.rs
+++ b/crates/larkspring/src/direct/agent/mod.rs
@@ -1,20 +1,22 @@
-//! The agent beside a model engine: it has adapters loaded and kept for the entries.
+//! The agent beside a model engine: loads adapters for the entries and keeps them
+//! resident.
 //!
-//! 1. [`serve`]: entries follow the agent, each on one connection.
-//! 2. [`keeper`]: decides with `core::slots` what is loaded; one task owns the state.
-//! 3. [`orders`]: what the engine reports, and the orders that follow.
-//! 4. [`tell`]: what the entries are told of it.
-//! 5. [`driver`]: asks the engine for its report and gives it orders, one at a time.
-//! 6. [`state`]: the declared state, read once for the entries of the hall.
-//! 7. [`lasting`]: requests that end endpoints, kept in the platform's store.
+//! 1. [`serve`]: accepts entries, each on one connection.
+//! 2. [`controller`]: decides with `core::slots` which adapters are loaded; one task owns the
+//!    state.
+//! 3. [`orders`]: applies the engine's reports and issues the orders that follow.
+//! 4. [`publish`]: publishes the engine's state to the entries.
+//! 5. [`driver`]: requests the engine's reports and sends it orders, one at a time.
+//! 6. [`state_cache`]: reads the declared state once for all entries of the hall.
+//! 7. [`quarantine_sync`]: keeps quarantined request fingerprints in the platform's store.
 
+mod controller;
 mod driver;
-mod keeper;
-mod lasting;
 mod orders;
+mod publish;
+mod quarantine_sync;
 mod serve;
-mod state;
-mod tell;
+mod state_cache;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,8 +26,8 @@
 use smol::net::TcpListener;
 use smol::{channel, Task};
 
-use self::keeper::Keeper;
-use self::state::KeptState;
+use self::controller::Controller;
+use self::state_cache::StateCache;
 use super::cfg::AgentCfg;
 use super::edge::{Directory, Protocol, QuarantineStore};
 use super::entry::StartError;
@@ -37,13 +39,13 @@
 
 /// A running agent.
 pub struct Agent {
-    /// The address for entries.
+    /// The address at which entries connect.
     pub addr: SocketAddr,
     stopper: Stopper,
     _tasks: Vec<Task<()>>,
 }
 
-/// Time for connections of entries to end; entries go on without the agent.
+/// Time allowed for entries' connections to close; entries continue without the agent.
 const STOP_GRACE: Duration = Duration::from_millis(200);
 
 impl Agent {
@@ -63,14 +65,15 @@
         let commands = driver::start(cfg.engine, protocol, stats.clone(), tx.clone());
         let metrics = cfg.process.metrics;
         let findings = Arc::new(Findings::new(stats.clone()));
-        let state = KeptState::new(directory, stats.clone(), &cfg.process);
-        let (shown, known, kept) = (stats.clone(), findings.clone(), state.clone());
-        let answer = move |_: &str| {
-            known.show();
-            kept.show();
-            (StatusCode::OK, shown.text())
+        let state = StateCache::new(directory, stats.clone(), &cfg.process);
+        let (metrics_stats, metrics_findings, metrics_state) =
+            (stats.clone(), findings.clone(), state.clone());
+        let handler = move |_: &str| {
+            metrics_findings.show();
+            metrics_state.write_metrics();
+            (StatusCode::OK, metrics_stats.text())
         };
-        let served = side::serve(metrics, Arc::new(answer)).await;
+        let served = side::serve(metrics, Arc::new(handler)).await;
         let served = served.map_err(|e| StartError::Listen("metrics", metrics, e))?;
         tracing::info!(
             event = "start",
@@ -79,18 +82,18 @@
             addr = %addr,
             engine = %cfg.engine,
         );
-        let keeper = Keeper::new(&cfg, commands, stats, findings.clone());
+        let controller = Controller::new(&cfg, commands, stats, findings.clone());
         let tasks = vec![
             served,
-            exec::spawn(keeper.run(rx)),
-            exec::spawn(lasting::run(quarantine, findings, tx.clone())),
+            exec::spawn(controller.run(rx)),
+            exec::spawn(quarantine_sync::run(quarantine, findings, tx.clone())),
             exec::spawn(logs::report_left_out()),
         ];
         let stopper = serve::start(listener, tx, state);
         Ok(Self { addr, stopper, _tasks: tasks })
     }
 
-    /// Stops. The engine goes on with what it holds.
+    /// Stops the agent. The engine keeps the adapters that it holds.
     pub async fn stop(self) {
         tracing::info!(event = "stop", process = "agent");
         self.stopper.stop(STOP_GRACE).await;
--- /dev/null
+++ b/crates/larkspring/src/direct/agent/publish.rs
@@ -0,0 +1,152 @@
+//! Publishes the engine's state to the entries.
+
+use std::collections::{HashMap, HashSet};
+use std::time::{Duration, Instant};
+
+use larkspring_core::fleet::rate::Rate;
+use larkspring_core::fleet::reading::Unread;
+use larkspring_core::ids::{HallId, Incarnation, Target, TargetHash};
+use larkspring_proto::residency::from_agent::Kind as AgentMessage;
+use larkspring_proto::residency::{self as wire, Engagement};
+
+use super::controller::{Controller, MAX_REPORT_FAILURES};
+
+/// The state that was published last.
+pub(super) struct LastUpdate {
+    pub(super) state: EngineState,
+    pub(super) at: Instant,
+    /// Whether there are changes that were not published yet.
+    pub(super) due: bool,
+    /// The prefill backlog as the entries estimate it.
+    pub(super) prefill_backlog: Unread,
+}
+
+/// The part of the state whose changes are published at once; the other fields change
+/// with every request and are sent along.
+#[derive(Default, PartialEq, Eq)]
+pub(super) struct EngineState {
+    pub(super) engagement: i32,
+    pub(super) resident: HashSet<TargetHash>,
+    pub(super) loading: HashSet<TargetHash>,
+    pub(super) entries: usize,
+    /// Whether the engine is draining.
+    pub(super) draining: bool,
+    /// The engine's advertised rate limit.
+    pub(super) advertised_rate: Option<Rate>,
+    /// The run's name, and the run's number, which distinguishes it from an earlier run
+    /// of the same name.
+    pub(super) run: Option<(Incarnation, u64)>,
+}
+
+/// Interval at which the state is published, changed or not.
+pub(super) const PUBLISH_INTERVAL: Duration = Duration::from_millis(400);
+/// Minimum interval between two updates: each update goes to every entry, and bytes
+/// between halls are charged.
+pub(super) const MIN_PUBLISH_INTERVAL: Duration = Duration::from_millis(40);
+/// Increase of the prefill backlog that is published at once: so many tokens take a tenth
+/// of a second of prefill, and the entries would place other prompts behind them.
+const MIN_BACKLOG_CHANGE_TOKENS: u32 = 4000;
+
+impl Controller {
+    /// Publishes the state to the entries if it changed or if the interval has passed.
+    pub(super) fn publish(&mut self, now: Instant) {
+        let current = self.engine_state(now);
+        let since = now.saturating_duration_since(self.last_update.at);
+        let more = self
+            .prefill_backlog
+            .at(now)
+            .saturating_sub(self.last_update.prefill_backlog.at(now));
+        self.last_update.due =
+            self.last_update.state != current || more >= MIN_BACKLOG_CHANGE_TOKENS;
+        let pause = match self.last_update.due {
+            // Requests that are granted next are sent to this run.
+            _ if current.run.is_some() && current.run != self.last_update.state.run => {
+                Duration::ZERO
+            }
+            true => MIN_PUBLISH_INTERVAL,
+            false => PUBLISH_INTERVAL,
+        };
+        if since < pause {
+            return;
+        }
+        let changes = self.state_update(now, &current, &self.last_update.state);
+        let all = self.state_update(now, &current, &EngineState::default());
+        let whole = wire::State { whole: true, ..all };
+        let mut halls: HashMap<HallId, u32> = HashMap::new();
+        for entry in self.entries.values() {
+            *halls.entry(entry.hall.clone()).or_default() += 1;
+        }
+        let numbers: Vec<_> = self.entries.keys().copied().collect();
+        for number in numbers {
+            let Some(entry) = self.entries.get_mut(&number) else { continue };
+            let is_new = std::mem::take(&mut entry.is_new);
+            let state = if is_new { whole.clone() } else { changes.clone() };
+            let entries_in_hall = halls[&entry.hall];
+            self.send(
+                number,
+                AgentMessage::State(wire::State { entries_in_hall, ..state }),
+            );
+        }
+        self.last_update = LastUpdate {
+            state: current,
+            at: now,
+            due: false,
+            prefill_backlog: self.prefill_backlog,
+        };
+    }
+
+    fn engine_state(&self, now: Instant) -> EngineState {
+        let (resident, loading) = self.slots.held();
+        EngineState {
+            engagement: self.engagement(now).into(),
+            resident: resident.into_iter().map(Target::hash).collect(),
+            loading: loading.into_iter().map(Target::hash).collect(),
+            entries: self.entries.len(),
+            draining: self.engine.availability.leaves(),
+            advertised_rate: self.engine.availability.rate_named(),
+            run: self.engine.run_name.clone().map(|name| (name, self.engine.run_count)),
+        }
+    }
+
+    fn engagement(&self, now: Instant) -> Engagement {
+        let accepts = self.engine.availability.rests_for(now).is_none();
+        match (
+            self.engine.report_failures < MAX_REPORT_FAILURES && accepts,
+            &self.engine.run,
+        ) {
+            (false, _) | (_, None) => Engagement::Away,
+            _ if self.engine.report.bases.is_empty() => Engagement::Filling,
+            _ => Engagement::Serving,
+        }
+    }
+
+    /// Returns the state with the differences from an earlier one.
+    fn state_update(
+        &self,
+        now: Instant,
+        new: &EngineState,
+        old: &EngineState,
+    ) -> wire::State {
+        let held = |of: &EngineState, hash: &TargetHash| {
+            of.resident.contains(hash) || of.loading.contains(hash)
+        };
+        let run = new.run.as_ref().filter(|_| new.run != old.run);
+        let before = old.resident.iter().chain(&old.loading);
+        wire::State {
+            engagement: new.engagement,
+            held: self.slots.running() as u32,
+            free_places: self.slots.free_places() as u32,
+            loads_ahead: self.slots.loads_ahead() as u32,
+            entries: new.entries as u32,
+            entries_in_hall: 0,
+            whole: false,
+            leaving: new.draining,
+            rate_millis: new.advertised_rate.map(Rate::as_millis),
+            resident: new.resident.difference(&old.resident).copied().collect(),
+            loading: new.loading.difference(&old.loading).copied().collect(),
+            unread_tokens: self.prefill_backlog.at(now),
+            run: run.map(|(name, _)| name.to_string()).unwrap_or_default(),
+            gone: before.filter(|hash| !held(new, hash)).copied().collect(),
+        }
+    }
+}
--- /dev/null
+++ b/crates/larkspring/src/direct/agent/quarantine_sync.rs
@@ -0,0 +1,210 @@
+//! Keeps quarantined request fingerprints in the platform's store, where they survive a
+//! restart of all processes.
+//!
+//! Otherwise a loss of all processes would cost three more endpoints for each
+//! fingerprint. The store is read once at the start. Each fingerprint is written once.
+//! The store is read again only while this agent has stored fingerprints, so that an
+//! operator can lift a quarantine by removing its object, and impose one by creating an
+//! object.
+//!
+//! Several agents may count crashes of the same fingerprint, and each of them stores it
+//! once its count reaches the limit. So a lift by an operator is recorded beside the
+//! object. An agent that has not applied that record yet counted its crashes before the
+//! lift: the count is cleared, and the fingerprint is not stored.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use larkspring_core::ids::{ContentHash, StoreEpoch};
+use larkspring_proto::residency as wire;
+use smol::channel::Sender;
+use smol::Timer;
+
+use super::controller::Event;
+use crate::direct::edge::QuarantineStore;
+use crate::direct::logs;
+use crate::direct::quarantine::Findings;
+use crate::platform::PlatformError;
+
+/// The stored fingerprints and lifts as this agent knows them.
+struct QuarantineSync {
+    store: Arc<dyn QuarantineStore>,
+    findings: Arc<Findings>,
+    events: Sender<Event>,
+    stored: BTreeSet<ContentHash>,
+    /// The store's epoch in which the fingerprints were stored.
+    epoch: StoreEpoch,
+    /// Fingerprints that operators lifted, with the time at which this agent learned of
+    /// each lift.
+    lifted: BTreeMap<ContentHash, Instant>,
+    listed_at: Instant,
+}
+
+/// Interval at which pending writes and removals are carried out.
+const SYNC_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval at which the store is read for lifts by operators, while this agent has
+/// stored fingerprints.
+const LIST_INTERVAL: Duration = Duration::from_secs(30);
+/// Pause after a failed call.
+const FAILURE_PAUSE: Duration = Duration::from_secs(2);
+/// Time for which the record of a lift is kept: crash counts of other processes from
+/// before the lift have expired by then.
+const LIFT_RETENTION: Duration = Duration::from_secs(3600);
+/// Limits the fingerprints that one agent stores, so that a caller with ever new fatal
+/// requests does not fill the store.
+const MAX_STORED_FINGERPRINTS: usize = 512;
+
+/// Synchronises the store with the crash reports, without end.
+pub(super) async fn run(
+    store: Arc<dyn QuarantineStore>,
+    findings: Arc<Findings>,
+    events: Sender<Event>,
+) {
+    let (stored, listed_at) = (BTreeSet::new(), Instant::now());
+    let lifted = BTreeMap::new();
+    let epoch = store.epoch();
+    let mut sync =
+        QuarantineSync { store, findings, events, stored, epoch, lifted, listed_at };
+    let mut loaded = false;
+    loop {
+        let step = match loaded {
+            false => sync.load().await,
+            true => sync.reconcile().await,
+        };
+        match step {
+            Ok(()) => loaded = true,
+            Err(e) => {
+                tracing::warn!(event = "quarantine not kept", cause = %e);
+                Timer::after(FAILURE_PAUSE).await;
+            }
+        }
+        Timer::after(SYNC_INTERVAL).await;
+    }
+}
+
+impl QuarantineSync {
+    /// Applies the store's contents at the agent's start.
+    async fn load(&mut self) -> Result<(), PlatformError> {
+        let listed = self.store.list().await?;
+        self.epoch = self.store.epoch();
+        let new_reports = self.findings.quarantine(&listed);
+        self.stored.extend(listed);
+        self.forward(new_reports).await;
+        self.apply_lifts().await
+    }
+
+    async fn reconcile(&mut self) -> Result<(), PlatformError> {
+        if self.is_restored() {
+            self.rewrite_after_restore().await?;
+        }
+        let quarantined: BTreeSet<_> = self.findings.refused().into_iter().collect();
+        for content in quarantined.difference(&self.stored.clone()) {
+            if self.stored.len() >= MAX_STORED_FINGERPRINTS {
+                break;
+            }
+            self.store_fingerprint(*content).await?;
+        }
+        for content in self.stored.clone().difference(&quarantined) {
+            self.store.remove(*content).await?;
+            self.stored.remove(content);
+        }
+        self.delete_old_lifts().await?;
+        if self.stored.is_empty() || self.listed_at.elapsed() < LIST_INTERVAL {
+            return Ok(());
+        }
+        self.listed_at = Instant::now();
+        self.apply_lifts().await?;
+        let listed: BTreeSet<_> = self.store.list().await?.into_iter().collect();
+        if self.is_restored() {
+            return self.rewrite_after_restore().await;
+        }
+        for content in self.stored.clone().difference(&listed) {
+            self.apply_lift(*content).await;
+        }
+        let imposed: Vec<_> = listed.difference(&self.stored).copied().collect();
+        let new_reports = self.findings.quarantine(&imposed);
+        self.stored.extend(imposed);
+        self.forward(new_reports).await;
+        Ok(())
+    }
+
+    /// Whether the store was restored from a backup that may lack fingerprints stored by
+    /// this agent.
+    fn is_restored(&self) -> bool {
+        self.store.epoch() != self.epoch
+    }
+
+    /// Records all lifts again. The quarantined fingerprints are no longer marked as
+    /// stored, so the next steps store them again.
+    async fn rewrite_after_restore(&mut self) -> Result<(), PlatformError> {
+        let epoch = self.store.epoch();
+        for content in self.lifted.keys() {
+            self.store.lift(*content).await?;
+        }
+        self.stored.clear();
+        self.epoch = epoch;
+        Ok(())
+    }
+
+    /// Stores a quarantined fingerprint, unless an operator has lifted it since its
+    /// crashes were counted.
+    async fn store_fingerprint(
+        &mut self,
+        content: ContentHash,
+    ) -> Result<(), PlatformError> {
+        if self.lifted.contains_key(&content) {
+            // Crashes were counted again after the lift.
+            self.store.forget_lift(content).await?;
+            self.lifted.remove(&content);
+        }
+        self.apply_lifts().await?;
+        if self.lifted.contains_key(&content) {
+            return Ok(());
+        }
+        self.store.add(content).await?;
+        self.stored.insert(content);
+        // A fingerprint that was lifted in the meantime is removed again.
+        self.apply_lifts().await
+    }
+
+    /// Applies lifts by operators: crashes counted before a lift no longer count.
+    async fn apply_lifts(&mut self) -> Result<(), PlatformError> {
+        for content in self.store.lifted().await? {
+            if self.lifted.contains_key(&content) {
+                continue;
+            }
+            if self.stored.contains(&content) {
+                self.store.remove(content).await?;
+            }
+            self.apply_lift(content).await;
+        }
+        Ok(())
+    }
+
+    async fn apply_lift(&mut self, content: ContentHash) {
+        tracing::warn!(event = "request lifted", content = logs::hash(content));
+        self.stored.remove(&content);
+        self.lifted.insert(content, Instant::now());
+        let cleared = self.findings.answered(content);
+        self.forward(cleared.into_iter().collect()).await;
+    }
+
+    async fn delete_old_lifts(&mut self) -> Result<(), PlatformError> {
+        let is_old = |at: &Instant| at.elapsed() >= LIFT_RETENTION;
+        let old: Vec<_> =
+            self.lifted.iter().filter(|(_, at)| is_old(at)).map(|(c, _)| *c).collect();
+        for content in old {
+            self.store.forget_lift(content).await?;
+            self.lifted.remove(&content);
+        }
+        Ok(())
+    }
+
+    async fn forward(&self, new_reports: Vec<wire::Finding>) {
+        if !new_reports.is_empty() {
+            // The controller ends only with the whole process.
+            let _ = self.events.send(Event::CrashReports(new_reports)).await;
+        }
+    }
+}
--- a/crates/larkspring/src/direct/agent/state.rs
+++ b/crates/larkspring/src/direct/agent/state_cache.rs
@@ -1,9 +1,10 @@
-//! The declared state, read once for the entries of a hall.
+//! Reads the declared state once for all entries of a hall.
 //!
-//! Every entry needs it, and each call to the platform's store is charged: with 68 entries
-//! that asked for themselves it was 3,264 calls on a quiet day, the largest price of all. An
-//! entry asks an agent of its hall instead, which keeps what the store answered, undecoded,
-//! and tells how old it is. The entry asks the store itself as soon as that is too old.
+//! Every entry needs the state, and each call to the platform's store is charged. With 68
+//! entries that read the store themselves there were 3,264 calls on a quiet day, the
+//! largest share of the cost. Instead an entry reads from an agent of its hall, which
+//! keeps the store's answers undecoded and states their age. The entry reads the store
+//! itself as soon as that age is over the bound.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -26,58 +27,59 @@
 use crate::exec::{self, within};
 use crate::platform::PlatformError;
 
-/// What an agent keeps of the declared state.
-pub(super) struct KeptState {
+/// The declared state kept by an agent.
+pub(super) struct StateCache {
     store: StoreReader,
     stats: Arc<Stats>,
     paces: [StorePace; Kind::ALL.len()],
-    kinds: [Feed; Kind::ALL.len()],
+    feeds: [Feed; Kind::ALL.len()],
 }
 
-/// One kind of items.
+/// The cached state of one kind of items, and its change notification.
 #[derive(Default)]
 struct Feed {
-    kept: Mutex<Kept>,
+    cached: Mutex<CachedState>,
     changed: Event,
 }
 
 #[derive(Default)]
-struct Kept {
-    /// The last list, and the changes after it.
+struct CachedState {
+    /// The pages of the last list; `changes` holds the changes after the list.
     pages: Vec<Bytes>,
-    listed: StorePoint,
+    listed_at: StorePoint,
     changes: VecDeque<Change>,
     at: StorePoint,
     /// When the store last answered; `None` before the first list.
-    heard: Option<Instant>,
-    /// When the call that it answered then was sent.
-    proved: Option<Moment>,
-    /// Whether everything has to be read anew.
-    lists: bool,
-    /// When an entry last asked; the store is read while entries do.
-    asked: Option<Instant>,
-    is_read: bool,
+    answered_at: Option<Instant>,
+    /// When the call for that answer was sent.
+    proved_at: Option<Moment>,
+    /// Whether the whole state has to be read again.
+    must_list: bool,
+    /// When an entry last sent a read; the store is read only while entries read.
+    last_read_at: Option<Instant>,
+    is_followed: bool,
 }
 
 struct Change {
-    /// Point that it leads to.
+    /// The point of the store's history after the change.
     to: StorePoint,
     body: Bytes,
 }
 
-/// Pause after a call that failed: entries ask the store themselves meanwhile, and pass an
-/// agent over for 3 s.
+/// Pause after a failed call: entries read the store themselves meanwhile, and do not use
+/// an agent for 3 s.
 const FAILURE_PAUSE: Duration = Duration::from_secs(1);
-/// Least time in which an agent that begins to read answers the first entry.
-const FIRST_LIST: Duration = Duration::from_millis(60);
-/// Time without a question after which the store is not read any more.
-const UNASKED: Duration = Duration::from_secs(5);
-/// Changes that are kept; one a second comes for endpoints. A reader that is further behind
-/// gets everything, and so does the next one after a new list.
-const MAX_CHANGES: usize = 64;
+/// Minimum wait of an entry's read for the first list, after an agent has begun to read
+/// the store.
+const MIN_FIRST_LIST_WAIT: Duration = Duration::from_millis(60);
+/// Time without a read by an entry after which the store is no longer read.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Limits the kept changes; endpoints change once a second. A reader that is further
+/// behind gets the whole state, and so does each reader's next read after a new list.
+const MAX_KEPT_CHANGES: usize = 64;
 
-impl KeptState {
-    /// Creates the state of an agent that nobody has asked.
+impl StateCache {
+    /// Creates the state of an agent that no entry has read from.
     pub fn new(
         directory: Arc<dyn Directory>,
         stats: Arc<Stats>,
@@ -94,84 +96,84 @@
             store: StoreReader::new(directory, stats.clone()),
             stats,
             paces: Kind::ALL.map(pace),
-            kinds: Default::default(),
+            feeds: Default::default(),
         })
     }
 
-    /// Answers an entry, after waiting for a change for as long as it asks.
+    /// Answers an entry's read; waits for a change as long as the entry requests.
     pub async fn read(self: &Arc<Self>, req: &wire::ReadRequest) -> wire::ReadReply {
         let received = Instant::now();
         let kind = kind_of(req.kind());
         let feed = self.feed(kind);
-        let begins = {
-            let mut kept = feed.kept.lock();
-            kept.asked = Some(Instant::now());
-            !std::mem::replace(&mut kept.is_read, true)
+        let starts_following = {
+            let mut cached = feed.cached.lock();
+            cached.last_read_at = Some(Instant::now());
+            !std::mem::replace(&mut cached.is_followed, true)
         };
-        if begins {
+        if starts_following {
             exec::spawn(self.clone().follow(kind)).detach();
         }
         let changed = feed.changed.listen();
-        let (nothing_new, knows) = {
-            let kept = feed.kept.lock();
-            (kept.at <= kept.known_by(req), kept.heard.is_some())
+        let (is_current, is_known) = {
+            let cached = feed.cached.lock();
+            (cached.at <= cached.known_point(req), cached.answered_at.is_some())
         };
-        if nothing_new || !knows {
-            let least = if knows { Duration::ZERO } else { FIRST_LIST };
-            within(Duration::from_millis(req.wait_ms).max(least), changed).await;
+        if is_current || !is_known {
+            let min_wait = if is_known { Duration::ZERO } else { MIN_FIRST_LIST_WAIT };
+            within(Duration::from_millis(req.wait_ms).max(min_wait), changed).await;
         }
         let now = Instant::now();
-        let reply = feed.kept.lock().reply(req, now);
+        let reply = feed.cached.lock().reply(req, now);
         let held_ms = now.saturating_duration_since(received).as_millis() as u64;
         wire::ReadReply { held_ms, ..reply }
     }
 
-    /// Shows on the metrics how old what is kept of each kind is.
-    pub fn show(&self) {
+    /// Writes the age of each kind's state to the metrics.
+    pub fn write_metrics(&self) {
         for kind in Kind::ALL {
-            let proved = self.feed(kind).kept.lock().proved;
-            self.stats.proof_age(kind.name(), proved.map(|at| at.elapsed()));
-            let at = self.feed(kind).kept.lock().at;
+            let proved_at = self.feed(kind).cached.lock().proved_at;
+            self.stats.proof_age(kind.name(), proved_at.map(|at| at.elapsed()));
+            let at = self.feed(kind).cached.lock().at;
             self.stats.store_point(kind.name(), at);
         }
     }
 
     fn feed(&self, kind: Kind) -> &Feed {
-        &self.kinds[kind as usize]
+        &self.feeds[kind as usize]
     }
 
-    /// Reads the store for as long as entries ask.
+    /// Reads the store as long as entries read from this agent.
     async fn follow(self: Arc<Self>, kind: Kind) {
         let feed = self.feed(kind);
         loop {
             let after = {
-                let mut kept = feed.kept.lock();
-                if kept.asked.is_none_or(|at| at.elapsed() > UNASKED) {
-                    *kept = Kept::default();
+                let mut cached = feed.cached.lock();
+                if cached.last_read_at.is_none_or(|at| at.elapsed() > IDLE_TIMEOUT) {
+                    *cached = CachedState::default();
                     return;
                 }
-                let at = kept.at;
-                let is_full = kept.changes.len() >= MAX_CHANGES;
-                let lists = kept.heard.is_none() || kept.lists || is_full;
+                let at = cached.at;
+                let is_full = cached.changes.len() >= MAX_KEPT_CHANGES;
+                let lists = cached.answered_at.is_none() || cached.must_list || is_full;
                 (!lists).then_some(After { at, wait: self.pace(kind).wait })
             };
             let read = self.store.read(Ask { kind, after }, self.pace(kind)).await;
             self.stats.store_call(kind.name(), read.is_ok());
-            let pause = self.take(kind, read);
+            let pause = self.apply_read(kind, read);
             Timer::after(pause).await;
         }
     }
 
-    /// Keeps what was read; returns the pause before the next read.
-    fn take(&self, kind: Kind, read: Result<Read, PlatformError>) -> Duration {
+    /// Keeps the result of a read; returns the pause before the next read.
+    fn apply_read(&self, kind: Kind, read: Result<Read, PlatformError>) -> Duration {
         let feed = self.feed(kind);
         let state = match read {
             Ok(Read::State(state)) => state,
             Ok(Read::HistoryGone) => {
-                let mut kept = feed.kept.lock();
-                kept.lists = true;
+                let mut cached = feed.cached.lock();
+                cached.must_list = true;
                 if logs::allows(logs::Line::Belief) {
-                    let (epoch, revision) = (kept.at.epoch(), kept.at.revision());
+                    let (epoch, revision) = (cached.at.epoch(), cached.at.revision());
                     let kind = kind.name();
                     tracing::info!(event = "history gone", kind, epoch, revision);
                 }
@@ -179,8 +181,8 @@
             }
             Err(e) => {
                 if logs::allows(logs::Line::Belief) {
-                    let kept = feed.kept.lock().proved;
-                    let age = kept.map(|at| at.elapsed().as_millis() as u64);
+                    let proved_at = feed.cached.lock().proved_at;
+                    let age = proved_at.map(|at| at.elapsed().as_millis() as u64);
                     let kind = kind.name();
                     tracing::info!(event = "read failed", kind, cause = %e, proof_age_ms = age);
                 }
@@ -189,7 +191,7 @@
             }
         };
         let now = Instant::now();
-        if feed.kept.lock().take(state, now) {
+        if feed.cached.lock().apply(state, now) {
             feed.changed.notify(usize::MAX);
         }
         self.pace(kind).pause
@@ -200,15 +202,15 @@
     }
 }
 
-impl Kept {
-    /// Takes in what the store answered; whether anything changed.
-    fn take(&mut self, state: State, now: Instant) -> bool {
-        self.heard = Some(now);
-        self.proved = state.proved;
+impl CachedState {
+    /// Applies an answer of the store; returns whether anything changed.
+    fn apply(&mut self, state: State, now: Instant) -> bool {
+        self.answered_at = Some(now);
+        self.proved_at = state.proved;
         if state.whole {
-            self.lists = false;
+            self.must_list = false;
             self.pages = state.pages;
-            self.listed = state.at;
+            self.listed_at = state.at;
             self.changes.clear();
         }
         let changed = state.whole || !state.changes.is_empty();
@@ -218,20 +220,21 @@
         changed
     }
 
-    /// The point that an entry knows; one that names no epoch means the present one.
-    fn known_by(&self, req: &wire::ReadRequest) -> StorePoint {
+    /// Returns the point up to which an entry knows the state; a request without an epoch
+    /// means the present epoch.
+    fn known_point(&self, req: &wire::ReadRequest) -> StorePoint {
         StorePoint::new(req.epoch.unwrap_or(self.at.epoch()), req.after)
     }
 
-    /// What an entry gets.
+    /// Builds the reply to an entry's read.
     fn reply(&self, req: &wire::ReadRequest, now: Instant) -> wire::ReadReply {
-        let after = self.known_by(req);
-        let Some(heard) = self.heard else {
-            // Revision 0 tells that nothing is known.
+        let after = self.known_point(req);
+        let Some(answered_at) = self.answered_at else {
+            // Revision 0 means that nothing is known.
             return wire::ReadReply::default();
         };
-        let whole = after < self.listed;
-        let age = now.saturating_duration_since(heard);
+        let whole = after < self.listed_at;
+        let age = now.saturating_duration_since(answered_at);
         let newer = self.changes.iter().filter(|c| whole || c.to > after);
         wire::ReadReply {
             epoch: self.at.epoch(),
@@ -240,9 +243,9 @@
             pages: if whole { self.pages.clone() } else { Vec::new() },
             changes: newer.map(|c| c.body.clone()).collect(),
             age_ms: age.as_millis() as u64,
-            // A store that answered without a proof proves nothing.
+            // Without a freshness proof from the store the state counts as never proved.
             proof_age_ms: self
-                .proved
+                .proved_at
                 .map_or(u64::MAX, |at| at.elapsed().as_millis() as u64 + 1),
             held_ms: 0,
         }
--- a/crates/larkspring/src/direct/beliefs.rs
+++ b/crates/larkspring/src/direct/beliefs.rs
@@ -1,4 +1,5 @@
-//! What a process holds true of the fleet: routing, endpoints and versions.
+//! The replicated state of the fleet as this process knows it: routing, endpoints and
+//! versions.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -16,7 +17,7 @@
 use super::logs::{self, Line};
 use crate::clock::Moment;
 
-/// The state that a process goes by, with its age.
+/// The replicated state, with its age.
 #[derive(Debug)]
 pub struct Beliefs {
     routing: ArcSwapOption<Routing>,
@@ -25,30 +26,30 @@
     members: Mutex<Members>,
     store: Mutex<StoreHealth>,
     changed: Event,
-    store_back: Event,
-    store_lost: Event,
+    store_recovered: Event,
+    store_unavailable: Event,
 }
 
-/// What shows that the state of a kind is the newest.
+/// The freshness proof of one kind of state.
 #[derive(Debug, Clone, Copy, Default)]
 struct Proof {
     /// A moment at which the store held nothing newer.
     at: Option<Moment>,
-    /// Whether a newer one was read that makes no sense, so that nothing is proved.
-    in_doubt: bool,
-    /// Whether the store was restored from a copy that lacks what is in force.
+    /// Whether a newer state was read that is invalid, so that nothing is proved.
+    newest_is_invalid: bool,
+    /// Whether the store was restored from a backup that lacks the routing in force.
     is_behind: bool,
 }
 
 /// Whether the platform's store answers this process.
 #[derive(Debug, Clone, Copy, Default)]
 struct StoreHealth {
-    /// Since when it has not answered.
-    away_since: Option<Instant>,
-    /// When it last came back.
-    back_at: Option<Instant>,
-    /// When it last answered.
-    heard_at: Option<Instant>,
+    /// Since when the store has been unavailable.
+    unavailable_since: Option<Instant>,
+    /// When the store last became available again.
+    recovered_at: Option<Instant>,
+    /// When the store last answered.
+    answered_at: Option<Instant>,
 }
 
 impl Default for Beliefs {
@@ -60,48 +61,48 @@
             members: Mutex::default(),
             store: Mutex::default(),
             changed: Event::new(),
-            store_back: Event::new(),
-            store_lost: Event::new(),
+            store_recovered: Event::new(),
+            store_unavailable: Event::new(),
         }
     }
 }
 
 impl Beliefs {
-    /// The routing in force, once known.
+    /// Returns the routing in force, once known.
     pub fn routing(&self) -> Option<Arc<Routing>> {
         self.routing.load_full()
     }
 
-    /// Time since the store is proved to have held nothing newer of a kind; `None` if it
-    /// never was.
+    /// Returns the time since the store is proved to have held nothing newer of a kind;
+    /// `None` without a proof.
     pub fn proof_age(&self, kind: Kind) -> Option<Duration> {
         self.proof(kind).lock().at.map(|at| at.elapsed())
     }
 
-    /// Records that the store held nothing newer of a kind than what was taken in, at a
-    /// moment.
+    /// Records that at a moment the store held nothing newer of a kind than the applied
+    /// state.
     pub fn proved(&self, kind: Kind, at: Moment) {
         let mut proof = self.proof(kind).lock();
-        if !proof.in_doubt && !proof.is_behind {
+        if !proof.newest_is_invalid && !proof.is_behind {
             proof.at = proof.at.max(Some(at));
         }
     }
 
-    /// Records whether the newest routing that was read makes no sense.
-    pub fn routing_in_doubt(&self, in_doubt: bool) {
-        self.proof(Kind::Routing).lock().in_doubt = in_doubt;
+    /// Records whether the newest routing that was read is invalid.
+    pub fn routing_in_doubt(&self, is_invalid: bool) {
+        self.proof(Kind::Routing).lock().newest_is_invalid = is_invalid;
     }
 
     fn proof(&self, kind: Kind) -> &Mutex<Proof> {
         &self.proofs[kind as usize]
     }
 
-    /// The newest versions of adapters.
+    /// Returns the newest versions of adapters.
     pub fn versions(&self) -> Arc<Versions> {
         self.versions.load_full()
     }
 
-    /// Returns once no request may begin on this version of an adapter any more.
+    /// Returns once no request may start on this version of an adapter any more.
     pub async fn outdated(&self, target: &Target) {
         loop {
             let changed = self.changed();
@@ -114,7 +115,7 @@
         }
     }
 
-    /// All endpoints that are not known to be gone.
+    /// Returns all endpoints that are not known to be gone.
     pub fn endpoints(&self) -> Vec<Arc<Endpoint>> {
         self.members.lock().endpoints().cloned().collect()
     }
@@ -124,20 +125,20 @@
         self.changed.listen()
     }
 
-    /// Since when the store has not answered, if it is away.
+    /// Returns since when the store has been unavailable, if it is.
     pub fn store_away_since(&self) -> Option<Instant> {
-        self.store.lock().away_since
+        self.store.lock().unavailable_since
     }
 
-    /// Notifies when the store answers again.
+    /// Notifies when the store is available again.
     pub fn store_back(&self) -> EventListener {
-        self.store_back.listen()
+        self.store_recovered.listen()
     }
 
-    /// Returns once the store does not answer.
+    /// Returns once the store is unavailable.
     pub async fn store_lost(&self) {
         loop {
-            let lost = self.store_lost.listen();
+            let lost = self.store_unavailable.listen();
             if self.store_away_since().is_some() {
                 return;
             }
@@ -145,21 +146,22 @@
         }
     }
 
-    /// Takes in all items of a kind.
+    /// Replaces all items of a kind.
     pub fn replace(&self, now: Instant, kind: Kind, listed: Listed) {
         if kind != Kind::Endpoints {
             return self.update(now, listed);
         }
         if self.members.lock().begin_epoch(listed.at) {
-            // What joined since the copy is listed again soon, as after an outage.
-            self.store.lock().back_at = Some(now);
+            // Endpoints that joined after the backup are listed again soon, as after an
+            // outage.
+            self.store.lock().recovered_at = Some(now);
         }
         let keep_until = self.keep_until(now);
         let mut endpoints = Vec::new();
         for item in listed.items {
             match item {
                 Item::Endpoint(endpoint, written) => endpoints.push((endpoint, written)),
-                other => self.take(now, listed.at, other),
+                other => self.apply_item(now, listed.at, other),
             }
         }
         let count = endpoints.len();
@@ -168,18 +170,19 @@
         self.changed.notify(usize::MAX);
     }
 
-    /// Takes in changed items.
+    /// Applies changed items.
     pub fn update(&self, now: Instant, changes: Listed) {
         if changes.items.is_empty() {
             return;
         }
         for item in changes.items {
-            self.take(now, changes.at, item);
+            self.apply_item(now, changes.at, item);
         }
         self.changed.notify(usize::MAX);
     }
 
-    /// Forgets endpoints whose time ran out; returns when to look again.
+    /// Removes endpoints whose grace period has expired; returns the time of the next
+    /// expiry.
     pub fn expire(&self, now: Instant) -> Option<Instant> {
         let mut members = self.members.lock();
         if members.expire(now) {
@@ -188,45 +191,46 @@
         members.next_expiry()
     }
 
-    /// Records that a call to the store got no answer.
+    /// Records that a call to the store failed.
     pub fn store_failed(&self, now: Instant, cause: &str) {
         let mut store = self.store.lock();
-        if store.away_since.is_none() {
-            store.away_since = Some(now);
+        if store.unavailable_since.is_none() {
+            store.unavailable_since = Some(now);
             logs::dependency("store", false, cause);
-            self.store_lost.notify(usize::MAX);
+            self.store_unavailable.notify(usize::MAX);
         }
     }
 
-    /// Time since the store last answered; `None` if it never did.
+    /// Returns the time since the store last answered; `None` before its first answer.
     pub fn store_age(&self) -> Option<Duration> {
-        self.store.lock().heard_at.map(|at| at.elapsed())
+        self.store.lock().answered_at.map(|at| at.elapsed())
     }
 
     /// Records that the store answered.
     pub fn store_answered(&self, now: Instant) {
         let mut store = self.store.lock();
-        store.heard_at = Some(now);
-        if store.away_since.take().is_some() {
-            store.back_at = Some(now);
+        store.answered_at = Some(now);
+        if store.unavailable_since.take().is_some() {
+            store.recovered_at = Some(now);
             logs::dependency("store", true, "");
-            self.store_back.notify(usize::MAX);
+            self.store_recovered.notify(usize::MAX);
         }
     }
 
-    /// Until when an endpoint that is missing now is kept; `None` if it is gone at once.
+    /// Returns until when an endpoint that is no longer listed is kept; `None` if it is
+    /// removed at once.
     fn keep_until(&self, now: Instant) -> Option<Instant> {
         let store = *self.store.lock();
-        if store.away_since.is_some() {
+        if store.unavailable_since.is_some() {
             return Some(now + LAPSE_GRACE);
         }
-        store.back_at.map(|back| back + LAPSE_GRACE).filter(|until| *until > now)
+        store.recovered_at.map(|at| at + LAPSE_GRACE).filter(|until| *until > now)
     }
 
-    fn take(&self, now: Instant, at: StorePoint, item: Item) {
+    fn apply_item(&self, now: Instant, at: StorePoint, item: Item) {
         let (epoch, revision) = (at.epoch(), at.revision());
         match item {
-            Item::Routing(routing) => self.take_routing(*routing),
+            Item::Routing(routing) => self.apply_routing(*routing),
             Item::Endpoint(endpoint, written) => {
                 let (id, leaving) = (endpoint.id.clone(), endpoint.leaving);
                 let changed = self.members.lock().put(endpoint, written);
@@ -250,7 +254,8 @@
             }
             Item::Version(adapter, number) => {
                 let mut versions = Versions::clone(&self.versions.load());
-                // It was named after the store last held nothing newer.
+                // The version was named after the last proof that the store held nothing
+                // newer.
                 let age = self.proof_age(Kind::Versions).unwrap_or_default();
                 let since = now.checked_sub(age).unwrap_or(now);
                 if versions.name(now, since, &adapter, number) {
@@ -266,7 +271,7 @@
             }
             Item::Unreadable { kind, name, cause } => {
                 if kind == Kind::Endpoints {
-                    // Whatever wrote over it: nothing says any more where it can be reached.
+                    // The endpoint's object was overwritten, so its address is unknown.
                     self.members.lock().remove(&name.as_str().into(), None);
                 }
                 if logs::allows(Line::Belief) {
@@ -284,7 +289,7 @@
         }
     }
 
-    fn take_routing(&self, routing: Routing) {
+    fn apply_routing(&self, routing: Routing) {
         let known = self.routing.load().as_ref().map(|r| r.version);
         self.proof(Kind::Routing).lock().is_behind = known > Some(routing.version);
         if known.is_some_and(|version| version >= routing.version) {
--- a/crates/larkspring/src/direct/reader.rs
+++ b/crates/larkspring/src/direct/reader.rs
@@ -1,4 +1,4 @@
-//! Reads of the platform's store that notice when one of them is lost.
+//! Reads of the platform's store, with detection of lost answers.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -12,23 +12,24 @@
 use crate::exec::within;
 use crate::platform::PlatformError;
 
-/// Reads the store; a watch that is not answered in time is followed by a list.
+/// Reads the store; sends a list request after a watch that is not answered in time.
 ///
-/// A connection may go silent while others work, so a lost watch says nothing of the store.
+/// A single connection may become unresponsive while others work, so a lost watch does
+/// not show that the store is unavailable.
 pub(super) struct StoreReader {
     directory: Arc<dyn Directory>,
     stats: Arc<Stats>,
-    /// Time that the store takes for an answer, the slowest of the last ones.
+    /// The slowest of the store's recent answer times, decayed.
     slowest: Mutex<Duration>,
 }
 
-/// Longest time for an answer, however slow the store is.
-const MAX_ANSWER: Duration = Duration::from_secs(1);
-/// A watch is lost after so many times the time that answers take, if that is longer than
-/// its pace allows.
-const PATIENCE: f64 = 3.0;
-/// Part of the slowest answer that is remembered with each one that is faster.
-const FORGET: f64 = 0.8;
+/// Limits the time for an answer, however slow the store is.
+const MAX_ANSWER_TIME: Duration = Duration::from_secs(1);
+/// Multiple of the slowest answer time after which a watch counts as lost, if that is
+/// longer than its pace allows.
+const LOST_AFTER_FACTOR: f64 = 3.0;
+/// Factor by which the slowest answer time decays with each faster answer.
+const SLOWEST_DECAY: f64 = 0.8;
 
 impl StoreReader {
     /// Creates a reader of a store.
@@ -39,17 +40,17 @@
     /// Reads items of a kind.
     pub async fn read(&self, ask: Ask, pace: &StorePace) -> Result<Read, PlatformError> {
         let Some(after) = ask.after else { return self.list(ask.kind).await };
-        let limit = after.wait + self.patience(pace);
+        let limit = after.wait + self.answer_timeout(pace);
         let began = Instant::now();
         match within(limit, self.directory.read(ask)).await {
             Some(read) => {
                 if read.is_ok() {
-                    self.answered(began.elapsed().saturating_sub(after.wait));
+                    self.record_answer(began.elapsed().saturating_sub(after.wait));
                 }
                 read
             }
             None => {
-                self.lost(ask.kind, limit);
+                self.record_lost_watch(ask.kind, limit);
                 self.list(ask.kind).await
             }
         }
@@ -64,22 +65,22 @@
         let began = Instant::now();
         let read = self.directory.read(Ask { kind, after: None }).await;
         if read.is_ok() {
-            self.answered(began.elapsed());
+            self.record_answer(began.elapsed());
         }
         read
     }
 
-    fn patience(&self, pace: &StorePace) -> Duration {
-        let slow = self.slowest.lock().mul_f64(PATIENCE);
-        pace.answer.max(slow).min(MAX_ANSWER)
+    fn answer_timeout(&self, pace: &StorePace) -> Duration {
+        let slow = self.slowest.lock().mul_f64(LOST_AFTER_FACTOR);
+        pace.answer.max(slow).min(MAX_ANSWER_TIME)
     }
 
-    fn answered(&self, took: Duration) {
+    fn record_answer(&self, took: Duration) {
         let mut slowest = self.slowest.lock();
-        *slowest = took.max(slowest.mul_f64(FORGET));
+        *slowest = took.max(slowest.mul_f64(SLOWEST_DECAY));
     }
 
-    fn lost(&self, kind: Kind, after: Duration) {
+    fn record_lost_watch(&self, kind: Kind, after: Duration) {
         let kind = kind.name();
         self.stats.store_call(kind, false);
         if logs::allows(Line::Belief) {
