--- a/crates/larkspring-core/src/limits/account.rs
+++ b/crates/larkspring-core/src/limits/account.rs
@@ -1,4 +1,4 @@
-//! An entry's side of the limits: what it has reserved, and who waits for more.
+//! The reservations of an entry, and the requests that wait for units.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -11,22 +11,23 @@
 use crate::ids::{WorkspaceHash, WorkspaceId};
 use crate::workspaces::{Limit, Workspace};
 
-/// What an entry has reserved for each workspace; `T` names a request that waits.
+/// The units that an entry has reserved for each workspace; `T` identifies a waiting
+/// request.
 #[derive(Debug)]
 pub struct Accounts<T> {
     terms: LimitTerms,
     accounts: HashMap<WorkspaceHash, Account<T>>,
     entries: u32,
-    /// Asks so far.
+    /// Number of requests for units so far.
     asks: u64,
 }
 
-/// What a request may do.
+/// Decision on a request under its workspace's limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Verdict {
-    /// It is within the limit.
+    /// The request is within the limit.
     Admitted,
-    /// It is beyond the limit; its units will be there after this time.
+    /// The request is over the limit; units will be available after this time.
     Refused(Duration),
 }
 
@@ -38,15 +39,15 @@
     version: RoutingVersion,
     reserved: VecDeque<Reserved>,
     waiting: VecDeque<Waiting<T>>,
-    /// Units that requests used before the home granted them.
+    /// Units that requests used before the bucket owner granted them.
     overdraft: f64,
-    /// Units of the present home that lapsed and are to be returned to it.
+    /// Expired units of the present bucket owner, to be returned with the next request.
     lapsed: f64,
-    /// Changes of home so far.
+    /// Number of changes of the bucket owner so far.
     home: u64,
-    /// The ask that is out.
+    /// The outstanding request for units.
     asked: Option<Asked>,
-    /// Until when the home has nothing for this workspace.
+    /// Until when the bucket owner has no units for this workspace.
     dry_until: Option<Instant>,
     demand: Flow,
     used_at: Instant,
@@ -62,7 +63,7 @@
 struct Reserved {
     units: f64,
     until: Instant,
-    /// Which home granted it, by the number of changes before.
+    /// The bucket owner that granted the units, as the number of changes before it.
     home: u64,
 }
 
@@ -80,33 +81,36 @@
     at: Instant,
 }
 
-/// Time over which demand is smoothed: a burst of a second has to show in it.
+/// Time constant of the smoothed demand: short enough for a burst of a second to show.
 const DEMAND: Duration = Duration::from_millis(500);
-/// How far ahead of requests units are reserved. An ask goes out when half of it is used.
+/// How far ahead of requests units are reserved. More units are requested when half of
+/// them are used.
 const AHEAD: Duration = Duration::from_millis(400);
-/// Time for a home to answer: a few times the way between halls and a turn of a busy
-/// process. A home that takes longer may be frozen or cut off.
+/// Time for a bucket owner to answer: a few times the latency between halls plus the
+/// response time of a busy process. A bucket owner that takes longer may be frozen or
+/// unreachable.
 pub const ANSWER: Duration = Duration::from_millis(100);
-/// Longest time that a request waits for an answer of homes before it is refused: most of
-/// the time in which a plain call can still be in time.
+/// Longest time that a request waits for answers of bucket owners before it is refused:
+/// most of the time in which a plain call can still be in time.
 pub const PATIENCE: Duration = Duration::from_millis(220);
-/// Least time for which a home that lacks units is not asked again: its bucket gathers them
-/// meanwhile, and a workspace far over its limit costs 20 asks a second and entry.
+/// Shortest time until a bucket owner without units gets the next request: its bucket
+/// refills meanwhile, and a workspace far over its limit costs at most 20 requests for
+/// units a second and entry.
 const DRY: Duration = Duration::from_millis(50);
-/// Shortest and longest time after which a refused caller is asked back.
+/// Bounds of the time after which a refused caller is asked to retry.
 const BACK_SOONEST: Duration = Duration::from_millis(100);
 const BACK_LATEST: Duration = Duration::from_secs(5);
-/// Time after which an account that nobody uses is forgotten.
+/// Time after which the state of an unused workspace is dropped.
 const UNUSED: Duration = Duration::from_secs(30);
 
 impl<T> Accounts<T> {
-    /// Creates accounts with nothing reserved.
+    /// Creates the state without any reservation.
     pub fn new(terms: LimitTerms) -> Self {
         Self { terms, accounts: HashMap::new(), entries: 1, asks: 0 }
     }
 
-    /// Tells that another home is asked from now on: what the former one granted stays
-    /// usable and is returned to nobody.
+    /// Records that another bucket owner is used from now on. Units that the former one
+    /// granted stay usable and are not returned when they expire.
     pub fn home_changed(&mut self) {
         for account in self.accounts.values_mut() {
             account.home += 1;
@@ -114,13 +118,14 @@
         }
     }
 
-    /// Tells how many entries there are, which share what may be used without an answer.
+    /// Sets the number of entries that share the units usable before a grant.
     pub fn set_entries(&mut self, entries: u32) {
         self.entries = entries.max(1);
     }
 
-    /// Takes a request of `cost` units in; `None` if it has to wait for an answer of the
-    /// home, which then tells its verdict.
+    /// Decides on a request of `cost` units, or returns `None` if the request has to wait
+    /// for an answer of the bucket owner. [`Self::granted`] or [`Self::unanswered`] then
+    /// returns the verdict.
     pub fn enter(
         &mut self,
         now: Instant,
@@ -145,14 +150,15 @@
         None
     }
 
-    /// Gives back what a request did not use, since it has not run.
+    /// Returns the units of a request that has not run to the reservations.
     pub fn give_back(&mut self, now: Instant, workspace: &Workspace, cost: f64) {
         let Some(account) = self.accounts.get_mut(&hash(&workspace.name)) else { return };
         account.reserve(now, cost);
     }
 
-    /// What is to be asked of the home now; each is then out until [`Self::granted`] or
-    /// [`Self::unanswered`]. With a beat, which is sent in any case, goes what can wait.
+    /// Returns the units to request from the bucket owner now. Each is then outstanding
+    /// until [`Self::granted`] or [`Self::unanswered`]. With `beats`, for the periodic
+    /// request that is sent in any case, the result also holds demand that is not urgent.
     pub fn wants(&mut self, now: Instant, beats: bool) -> Vec<Want> {
         self.accounts.retain(|_, account| account.is_used(now));
         let entries = self.entries;
@@ -166,12 +172,14 @@
         asking.filter_map(want).collect()
     }
 
-    /// Takes in what the home granted; returns the requests that it decides.
+    /// Applies grants of the bucket owner, and returns the requests that are decided by
+    /// them.
     pub fn granted(&mut self, now: Instant, grants: &[Grant]) -> Vec<(T, Verdict)> {
         let mut decided = Vec::new();
         for grant in grants {
             let Some(account) = self.accounts.get_mut(&grant.workspace) else { continue };
-            // A home that stood still may answer an ask that another one has answered since.
+            // A bucket owner that was paused may answer a request that another bucket
+            // owner has answered since.
             if account.asked.is_none_or(|asked| asked.number != grant.ask) {
                 continue;
             }
@@ -189,8 +197,8 @@
         decided
     }
 
-    /// Gives up asks that went unanswered, and refuses what waited too long. Returns when the
-    /// newest such ask was made.
+    /// Drops requests for units that were not answered in time, and refuses requests that
+    /// have waited for too long. Returns when the newest of the dropped ones was made.
     pub fn unanswered(
         &mut self,
         now: Instant,
@@ -200,19 +208,19 @@
         each.filter_map(|account| account.unanswered(now, decided)).max()
     }
 
-    /// Whether the home is to be asked for a workspace before the next beat.
+    /// Whether units for a workspace are to be requested before the next poll.
     pub fn is_due(&self, now: Instant, workspace: &Workspace) -> bool {
         let account = self.accounts.get(&hash(&workspace.name));
         account.is_some_and(|account| account.is_due(now, self.entries))
     }
 
-    /// When [`Self::unanswered`] has something to decide next.
+    /// The next time at which [`Self::unanswered`] has to be called.
     pub fn next_at(&self) -> Option<Instant> {
         let due = |account: &Account<T>| account.asked.map(|asked| asked.at + ANSWER);
         self.accounts.values().filter_map(due).min()
     }
 
-    /// What is reserved for each workspace, by name.
+    /// Returns the units reserved for each workspace, by name.
     pub fn reserved(&self, now: Instant) -> Vec<(WorkspaceId, f64)> {
         self.accounts.values().map(|a| (a.name.clone(), a.held(now))).collect()
     }
@@ -251,7 +259,8 @@
 }
 
 impl<T> Account<T> {
-    /// Takes units from what is reserved, the oldest first.
+    /// Takes units from the reservations, the oldest first; takes none if they do not
+    /// suffice.
     fn take(&mut self, now: Instant, cost: f64) -> bool {
         self.lapse(now);
         let all: f64 = self.reserved.iter().map(|r| r.units).sum();
@@ -277,7 +286,7 @@
         }
     }
 
-    /// Drops what was not used in time.
+    /// Drops expired reservations.
     fn lapse(&mut self, now: Instant) {
         while let Some(oldest) = self.reserved.front().filter(|r| r.until < now) {
             if oldest.home == self.home {
@@ -287,8 +296,9 @@
         }
     }
 
-    /// Uses units that the home has not granted yet, as far as this entry's part of the
-    /// slack goes: a request then neither waits for an answer nor costs an ask of its own.
+    /// Uses units that the bucket owner has not granted yet, up to this entry's part of
+    /// the slack. The request then neither waits for an answer nor costs a message of its
+    /// own.
     fn overdraw(&mut self, now: Instant, cost: f64, entries: u32) -> bool {
         let dry = self.dry_until.is_some_and(|until| until > now);
         let used = self.overdraft + cost;
@@ -299,7 +309,7 @@
         true
     }
 
-    /// Whether the home is to be asked before the next beat.
+    /// Whether units are to be requested before the next poll.
     fn is_due(&self, now: Instant, entries: u32) -> bool {
         let half = self.share.alone / f64::from(entries) / 2.0;
         let low = self.overdraft > half && self.ahead(now) > 0.0;
@@ -337,12 +347,13 @@
         })
     }
 
-    /// What is reserved and has not lapsed.
+    /// Returns the reserved units that have not expired.
     fn held(&self, now: Instant) -> f64 {
         self.reserved.iter().filter(|r| r.until >= now).map(|r| r.units).sum()
     }
 
-    /// What should be reserved ahead of requests; zero while over half of it is there.
+    /// Returns the units to reserve ahead of requests; zero while at least half of them
+    /// are reserved.
     fn ahead(&self, now: Instant) -> f64 {
         if self.dry_until.is_some_and(|until| until > now) {
             return 0.0;
@@ -355,7 +366,7 @@
         ahead - held
     }
 
-    /// Admits those that wait, in their order, as far as what is reserved goes.
+    /// Admits waiting requests in their order, as far as the reservations suffice.
     fn admit_waiting(&mut self, now: Instant, decided: &mut Vec<(T, Verdict)>) {
         while let Some(cost) = self.waiting.front().map(|w| w.cost) {
             if !self.take(now, cost) {
@@ -374,10 +385,10 @@
         }
     }
 
-    /// Refuses a request until the home has units again.
+    /// Refuses a request until the bucket owner has units again.
     ///
-    /// While a workspace asks for more than its limit, a caller that comes back sooner is let
-    /// in as often as one that comes later, and can still be answered in time.
+    /// While a workspace is over its limit, a caller that retries sooner is admitted as
+    /// often as a caller that retries later, and can still be answered in time.
     fn refuse(&self, wait: Duration) -> Verdict {
         Verdict::Refused(wait.clamp(BACK_SOONEST, BACK_LATEST))
     }
@@ -420,7 +431,7 @@
     }
 }
 
-/// Returns the hash that stands for a workspace between entries and homes.
+/// Returns the hash that identifies a workspace between entries and bucket owners.
 fn hash(name: &str) -> WorkspaceHash {
     xxh3_64(name.as_bytes())
 }
--- a/crates/larkspring-core/src/limits/home.rs
+++ b/crates/larkspring-core/src/limits/home.rs
@@ -1,4 +1,4 @@
-//! The home of limits: the buckets of workspaces, and what entries are granted.
+//! The bucket owner: the buckets of workspaces, and the units granted to entries.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -9,103 +9,106 @@
 use crate::ids::WorkspaceHash;
 use crate::workspaces::{Limit, Unit};
 
-/// Buckets of the workspaces whose entries ask this process.
+/// Buckets of the workspaces for which entries request units from this process.
 #[derive(Debug)]
 pub struct Home {
     terms: LimitTerms,
     buckets: HashMap<WorkspaceHash, Bucket>,
-    /// What entries told since the buckets were last forgotten.
+    /// Serving time reported since the buckets were last cleared.
     told: Sum,
-    /// When the last ask came.
+    /// When the last request for units arrived.
     heard: Option<Instant>,
-    /// Most entries that were counted lately, and when.
+    /// The highest number of entries within [`COUNT_KEPT`], and when it was counted.
     entries: (usize, Option<Instant>),
 }
 
-/// What an entry asks a home.
+/// A request for units from an entry to a bucket owner.
 #[derive(Debug, Clone, Copy)]
 pub struct Ask<'a> {
-    /// The time before it.
+    /// The serving time since the entry's previous request.
     pub told: Told,
-    /// Entries that share the limits, as far as the entry and the home know.
+    /// Number of entries that share the limits, as far as the entry and the bucket owner
+    /// know.
     pub entries: usize,
-    /// What it wants.
+    /// The units requested for each workspace.
     pub wants: &'a [Want],
 }
 
-/// What an entry asks for one workspace.
+/// Units that an entry requests for one workspace.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Want {
     /// The workspace.
     pub workspace: WorkspaceHash,
-    /// Number of the ask, which its grant repeats.
+    /// Sequence number, which the grant repeats.
     pub ask: u64,
-    /// What its requests used before it was granted.
+    /// Units that were used before they were granted.
     pub debt: f64,
-    /// What its requests that wait need.
+    /// Units that the waiting requests need.
     pub need: f64,
-    /// What the first of them needs; a request larger than the burst is let in by a full
-    /// bucket, which it leaves in debt.
+    /// Units that the first waiting request needs; a request larger than the burst is
+    /// admitted when the bucket is full, and leaves the bucket in debt.
     pub first: f64,
-    /// What this home granted and the entry did not use in time.
+    /// Units that this bucket owner granted and that expired unused.
     pub returned: f64,
-    /// What is reserved ahead of requests.
+    /// Units to reserve ahead of requests.
     pub ahead: f64,
-    /// Units a second that the workspace may use.
+    /// Rate of the limit, in units a second.
     pub per_sec: f64,
-    /// Units on top at once.
+    /// Burst of the limit, in units.
     pub burst: f64,
-    /// Version of the routing that declares this limit.
+    /// Version of the routing that declares the limit.
     pub version: RoutingVersion,
 }
 
-/// What a home grants of a want.
+/// A bucket owner's answer to the units requested for one workspace.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Grant {
     /// The workspace.
     pub workspace: WorkspaceHash,
-    /// Number of the ask that it answers.
+    /// Sequence number of the request that this grant answers.
     pub ask: u64,
     /// Units that the entry may use.
     pub units: f64,
-    /// Time until the rest of the need is there; zero if all was granted.
+    /// Time until the bucket has the remaining units; zero if all were granted.
     pub wait: Duration,
 }
 
 #[derive(Debug)]
 struct Bucket {
     level: f64,
-    /// What was told when the level was last brought up to date.
+    /// The reported serving time at the last update of the level.
     seen: Sum,
     per_sec: f64,
     burst: f64,
     version: RoutingVersion,
 }
 
-/// Sum of what entries told, each as a part of all entries.
+/// Serving time that entries reported, each weighted by one over the number of entries.
 #[derive(Debug, Clone, Copy, Default)]
 struct Sum {
-    /// Seconds: one for each second in which all entries ask.
+    /// Seconds: one for each second in which all entries request units here.
     time: f64,
-    /// Entries that joined: one when all have.
+    /// The fraction of entries that changed to this bucket owner: 1 when all have.
     joined: f64,
 }
 
-/// Time without any ask after which a process is no home any more, and forgets its buckets.
+/// Time without any request after which a process is no bucket owner any more and clears
+/// its buckets.
 const LAPSE: Duration = Duration::from_millis(1000);
-/// For how long the most entries that were counted stand for all: longer than cuts between
-/// VMs usually last, so that a home which few entries reach does not take them for all.
+/// How long the highest count of entries is used: longer than network partitions between
+/// VMs usually last, so that a bucket owner which only a few entries reach does not give
+/// them the shares of all.
 const COUNT_KEPT: Duration = Duration::from_secs(30);
-/// Part of a full bucket below which nothing is reserved ahead any more: what one entry
-/// keeps in reserve then lacks at another one.
+/// Fraction of a full bucket below which no units are granted ahead of requests: units
+/// that an entry keeps in reserve are then missing at another entry.
 const SCARCE_PART: f64 = 0.3;
-/// Workspaces that are remembered; full buckets go first.
+/// Largest number of buckets; full buckets are evicted first.
 const MAX_BUCKETS: usize = 16 * 1024;
-/// Longest wait that a home tells, in seconds.
+/// Longest wait in a grant, in seconds.
 const MAX_WAIT: f64 = 10.0;
 
 impl Home {
-    /// Creates a home that was asked nothing.
+    /// Creates a bucket owner without buckets.
     pub fn new(terms: LimitTerms) -> Self {
         Self {
             terms,
@@ -116,7 +119,7 @@
         }
     }
 
-    /// Answers an entry.
+    /// Answers an entry's request for units.
     pub fn ask(&mut self, now: Instant, ask: &Ask<'_>) -> Vec<Grant> {
         self.hear(now, ask);
         ask.wants.iter().map(|want| self.grant(want)).collect()
@@ -144,7 +147,8 @@
             self.buckets.retain(|_, bucket| bucket.level < bucket.per_sec);
         }
         let bucket = self.buckets.entry(want.workspace).or_insert_with(|| Bucket {
-            // One that nobody asked for has filled since entries ask this home.
+            // A workspace without requests so far gets a bucket that has filled since
+            // entries changed to this bucket owner.
             level: 0.0,
             seen: Sum { time: 0.0, joined: told.joined },
             per_sec: want.per_sec,
@@ -178,8 +182,9 @@
         terms.share(&Limit { per_sec, burst, unit: Unit::Requests })
     }
 
-    /// Adds what entries told since the last time. An entry that asked another home
-    /// meanwhile may have used there what it brought here before, so its part goes.
+    /// Refills the bucket by the serving time reported since the last call. An entry that
+    /// used another bucket owner meanwhile may have spent there the units that it added
+    /// here before, so its part of the level is removed.
     fn fill(&mut self, told: Sum, share: &Share) {
         let left = (told.joined - self.seen.joined) * share.most;
         if self.level > 0.0 {
@@ -191,10 +196,11 @@
     }
 }
 
-/// Units that a want gets of `level`, which may fall to the share's debt.
+/// Returns the units granted at `level`, which may fall below zero by the share's debt.
 ///
-/// A request is let in while anything is there, whatever its size: if it had to find all of
-/// its units, long prompts would hardly ever pass where short ones take what comes.
+/// A request is admitted while the level is above zero, whatever its size: if all of its
+/// units had to be there, long prompts would hardly ever be admitted while short prompts
+/// use up the units as they arrive.
 fn units(level: f64, share: &Share, want: &Want) -> f64 {
     let all = want.debt + want.need;
     if level >= all {
--- a/crates/larkspring-core/src/limits/mod.rs
+++ b/crates/larkspring-core/src/limits/mod.rs
@@ -1,26 +1,31 @@
-//! Limits of workspaces over all entries together.
+//! Rate limits of workspaces, enforced over all entries together.
 //!
-//! One process, the home, holds a bucket for each workspace. Entries reserve at the home
-//! what they are about to use and take their requests from that.
+//! One process, the bucket owner, holds a bucket for each workspace. Entries reserve
+//! units at the bucket owner ahead of use and admit requests from their reservations.
 //!
-//! 1. [`account`]: an entry's side: what it has reserved, and who waits for more.
-//! 2. [`presence`]: for how long it has asked its home.
-//! 3. [`home`]: the buckets, and how much each ask is granted.
+//! 1. [`account`]: the reservations of an entry, and the requests that wait for units.
+//! 2. [`presence`]: the serving time that an entry reports with each request for units.
+//! 3. [`home`]: the buckets, and the units granted for each request.
 //!
-//! The bound. In every window of length `w` a workspace of `r` units a second and a burst of
-//! `b` may use `r w + b` and some slack; what it asks within that and is refused is service
-//! lost. So a home gives the bucket what the window allows: a second of the rate at once (or
-//! the burst, if that is less), and the rest of the burst and [`Share::used`] of the slack
-//! as rate. What is left of the slack covers faults:
+//! # Bound
 //!
-//! - A grant lapses after [`Share::life`], so what is used in a window was granted within `w +
-//!   life`, from time that entries told up to a beat later.
-//! - A request that finds anything in its bucket may leave it in debt, by [`Share::debt`].
-//! - Entries use [`Share::alone`] together before it is granted, and settle it with the next
-//!   ask.
+//! In every window of length `w` a workspace with a rate of `r` units a second and a
+//! burst of `b` units may use `r w + b` units and a slack. Refusing requests within
+//! `r w + b` loses service. So a bucket gets all that the window allows: its capacity is
+//! a second of the rate (or the burst, if that is less), and the remainder of the burst
+//! and a part of the slack (`USED_PART`) are added to its refill rate. The remainder of
+//! the slack covers faults:
 //!
-//! A change of home, or two homes at once, for entries that hear different processes, costs
-//! no slack: see [`presence`].
+//! - A grant expires after [`Share::life`], so units used in a window of length `w` were
+//!   granted within `w` and that lifetime, from serving time that entries reported up to
+//!   a poll interval later.
+//! - A request that finds any units in its bucket may bring the bucket down to a debt of
+//!   [`Share::debt`].
+//! - All entries together use up to [`Share::alone`] before it is granted, and settle it
+//!   with the next request for units.
+//!
+//! A change of the bucket owner, or two bucket owners at once because entries reach
+//! different processes, costs no slack: see [`presence`].
 
 pub mod account;
 pub mod home;
@@ -30,46 +35,47 @@
 
 use crate::workspaces::Limit;
 
-/// What the deployment allows beyond the limits, as its settings say.
+/// The usage beyond the limits that the deployment's settings allow.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitTerms {
-    /// Length of every window that a limit holds for.
+    /// Length of the windows in which a limit holds.
     pub window: Duration,
-    /// Part of what the limit allows in a window that may be used on top.
+    /// Additional usage, as a fraction of the units that the limit allows in a window.
     pub overage: f64,
-    /// Units that may be used on top of that.
+    /// Additional usage on top of `overage`, in units a window.
     pub tolerance: f64,
 }
 
-/// What a home gives of one limit, and how the slack covers faults.
+/// The parameters of one limit's bucket, and the parts of the slack that cover faults.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Share {
-    /// Units a second that the bucket gains.
+    /// Refill rate of the bucket, in units a second.
     pub per_sec: f64,
-    /// Units that the bucket holds.
+    /// Capacity of the bucket, in units.
     pub most: f64,
-    /// How long a reservation holds.
+    /// Lifetime of a reservation.
     pub life: Duration,
-    /// How far a request may bring the bucket of its home below zero.
+    /// Units by which a request may bring the bucket below zero.
     pub debt: f64,
-    /// What all entries together may use before a home has granted it.
+    /// Units that all entries together may use before the bucket owner has granted them.
     pub alone: f64,
 }
 
-/// Longest life of a reservation: twice the time between two asks of an entry.
+/// Longest lifetime of a reservation: two poll intervals of an entry.
 const MAX_LIFE: Duration = Duration::from_millis(500);
-/// Time of its rate that a workspace may use at once, if its burst allows as much.
+/// Capacity of a bucket as a time at the workspace's rate, unless the burst is smaller.
 const AT_ONCE: Duration = Duration::from_secs(1);
-/// Parts of the slack: what is given as rate, and what covers reservations that are out when
-/// a window begins, the debt of a bucket, and what entries use before it is granted. What is
-/// left covers the time told late: a quarter of a second of the rate.
+/// Parts of the slack: the part added to the refill rate, and the parts that cover
+/// outstanding reservations at the beginning of a window, the debt of a bucket, and units
+/// used before they are granted. The remaining fifth covers serving time that is reported
+/// late: a quarter of a second of the rate.
 const USED_PART: f64 = 0.45;
 const LIFE_PART: f64 = 0.1;
 const DEBT_PART: f64 = 0.1;
 const ALONE_PART: f64 = 0.15;
 
 impl LimitTerms {
-    /// What a home gives of a limit.
+    /// Returns the bucket parameters for a limit.
     pub fn share(&self, limit: &Limit) -> Share {
         let window = self.window.as_secs_f64();
         let allowed = limit.per_sec * window + limit.burst;
--- a/crates/larkspring-core/src/limits/presence.rs
+++ b/crates/larkspring-core/src/limits/presence.rs
@@ -1,37 +1,40 @@
-//! For how long an entry has asked its home.
+//! The serving time that an entry reports to its bucket owner.
 
 use std::time::{Duration, Instant};
 
-/// What an entry's next ask says of the time before it.
+/// Measures the serving time that an entry reports with each request for units.
 ///
-/// A bucket fills with the time of the entries that ask for it, and an entry's time is told
-/// once, to one home. So homes that are asked at the same time by different entries, or one
-/// that stood still while another one was asked, never give the same second twice.
+/// A bucket refills by the time that entries report, and an entry reports each second
+/// once, to a single bucket owner. So the same second is never granted twice, neither by
+/// two bucket owners that serve different entries at the same time nor by a bucket owner
+/// that was paused while another process took over.
 #[derive(Debug, Clone)]
 pub struct Presence<H> {
     home: Option<H>,
     told: Option<Instant>,
 }
 
-/// The time that an ask tells of.
+/// The serving time reported with a request for units.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Told {
-    /// Time since the last ask.
+    /// Time since the previous request for units.
     pub time: Duration,
-    /// Whether another home was asked before, or none.
+    /// Whether the previous request went to another bucket owner, or there was none.
     pub joined: bool,
 }
 
-/// Most time that one ask tells: an entry that stood still did not serve meanwhile.
+/// Longest time reported at once: an entry that was paused for longer served no requests
+/// meanwhile.
 const MOST: Duration = Duration::from_millis(500);
 
 impl<H: PartialEq> Presence<H> {
-    /// Creates the presence of an entry that has asked nobody.
+    /// Creates the state of an entry that has requested no units yet.
     pub fn new() -> Self {
         Self { home: None, told: None }
     }
 
-    /// Records an ask of `home`.
+    /// Records a request to `home`, and returns the serving time to report with the
+    /// request.
     pub fn ask(&mut self, now: Instant, home: H) -> Told {
         let since = self.told.replace(now);
         let time = since.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
--- a/crates/larkspring-core/src/quarantine.rs
+++ b/crates/larkspring-core/src/quarantine.rs
@@ -1,100 +1,105 @@
-//! Requests that end the endpoints which run them.
+//! Quarantine of requests that crash the endpoints which run them.
 //!
-//! Such a request comes again under new ids, at any entry, and each time it takes the answers
-//! of all others at its endpoint with it. What tells it from those others is that it was at
-//! several ends and never came to an end of its own: a content counts up with each run that
-//! ended under it, one answer that came to its end clears it, and at [`REFUSED_FROM`] ends it
-//! is refused.
+//! A fatal request comes again under new ids and at any entry, and each crash interrupts
+//! the answers of all other requests at the endpoint. A fatal request differs from those
+//! others in that it was present at several crashes and was never answered in full. So
+//! each crash under a request adds to the count for its fingerprint, a complete answer
+//! clears the count, and from [`REFUSED_FROM`] crashes on the request is refused.
 //!
-//! Agents count what entries saw, and tell entries what matters. Findings only grow until
-//! they are cleared, so processes may hear them twice, late and in any order.
+//! Agents count the crashes that entries see, and notify entries of the fingerprints that
+//! matter. Counts only grow until they are cleared, so processes may receive crash
+//! reports twice, late and in any order.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use crate::ids::{AttemptHash, ContentHash};
 
-/// What is known of contents under which endpoints ended.
+/// The crash counts of request fingerprints.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     records: HashMap<ContentHash, Record>,
 }
 
-/// What one process tells another of a content.
+/// Crash report on one fingerprint, as sent between processes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Finding {
-    /// The content.
+    /// The request fingerprint.
     pub content: ContentHash,
-    /// Ends that count; none if it was cleared.
+    /// Number of crashes; zero if the fingerprint was cleared.
     pub ends: u32,
-    /// Time since the last of them, or since it was cleared.
+    /// Time since the last crash, or since the fingerprint was cleared.
     pub age: Duration,
 }
 
-/// The end of a run under a request.
+/// The crash of an endpoint's run while it ran a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct End {
-    /// The run and the attempt. A run may come back under its name, and ends again then.
+    /// Hash of the run and the attempt. A run may come back under its name, and may crash
+    /// again then.
     pub attempt: AttemptHash,
-    /// When the request was sent there.
+    /// When the request was sent to the endpoint.
     pub began: Instant,
-    /// When the run ended.
+    /// When the run crashed.
     pub at: Instant,
 }
 
-/// What follows for a request of a content.
+/// Quarantine status of a request fingerprint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Standing {
-    /// Nothing; at one end it was one of many.
+    /// Not restricted; a request at a single crash was one of many.
     Free,
-    /// Endpoints ended under it, too few to tell it from others that ran there.
+    /// Endpoints crashed under the request, but too few to tell it from others that ran
+    /// at the same time.
     Suspected,
-    /// It is not sent to any endpoint.
+    /// The request is not sent to any endpoint.
     Refused,
 }
 
 #[derive(Debug)]
 struct Record {
     ends: u32,
-    /// Attempts whose end was reported here, the latest last.
+    /// Attempts with a reported crash, the latest last.
     attempts: Vec<AttemptHash>,
-    /// When the last end was counted, or the content was cleared.
+    /// When the last counted crash happened, or the fingerprint was cleared.
     at: Instant,
-    /// When it was last cleared; ends before that do not count.
+    /// When the fingerprint was last cleared; crashes before that do not count.
     cleared: Option<Instant>,
 }
 
-/// Ends from which on a content is refused.
+/// Number of crashes from which on a request is refused.
 ///
-/// An engine's end takes up to 64 requests with it. One of them that is sent again meets
-/// the next end with a chance of its time there over the time between ends and the number of
-/// engines: 1 s, 0.6 s and 11 engines as recorded, 0.15. So of 64 about ten are at two ends
-/// and one or two could be at three, if they were sent three times; callers repeat once. Two
-/// would refuse the ten.
+/// An engine's crash interrupts up to 64 requests. When one of them is retried, the
+/// chance that it meets the next crash is its running time divided by the time between
+/// crashes and by the number of engines: 0.15 for 1 s, 0.6 s and 11 engines. So of 64
+/// requests about ten meet two crashes, and one or two could meet three if they were sent
+/// three times; callers retry once. A bound of two would refuse those ten.
 pub const REFUSED_FROM: u32 = 3;
-/// Ends from which on entries hear of a content, so that they say when one of its answers
-/// comes to an end.
+/// Number of crashes from which on entries are notified of a fingerprint, so that they
+/// report complete answers to it.
 pub const TOLD_FROM: u32 = 2;
-/// How long a content is remembered after its last end. It is refused for as long, since
-/// each try would cost another endpoint; an operator lifts it earlier.
+/// How long a refused fingerprint is kept after its last crash. The request is refused
+/// for as long, since each try would cost another endpoint; an operator may lift the
+/// quarantine earlier.
 const REMEMBERED: Duration = Duration::from_secs(24 * 3600);
-/// The same for one that is only suspected or cleared: many times the longest that one
-/// request and its repeats take.
+/// How long a suspected or cleared fingerprint is kept: many times the longest time that
+/// one request and its retries take.
 const SUSPECTED_FOR: Duration = Duration::from_secs(3600);
-/// Contents that are remembered; those with the fewest and oldest ends give way, so a caller
-/// with ever new fatal requests pushes out suspects before contents that are refused. About
-/// 1 MB.
+/// Largest number of fingerprints, about 1 MB. Those with the fewest and oldest crashes
+/// are evicted first, so a caller with ever new fatal requests evicts suspected ones
+/// before refused ones.
 const MAX_RECORDS: usize = 8192;
-/// Attempts kept for a content, so that an end which is reported again does not count twice.
+/// Attempts kept for a fingerprint, so that a crash which is reported again does not
+/// count twice.
 const MAX_ATTEMPTS: usize = 8;
 
 impl Quarantine {
-    /// Counts the end of a run that ran a request of this content; returns what is to be
-    /// told, if that changed.
+    /// Counts the crash of a run under a request with this fingerprint, and returns the
+    /// crash report to send, if the count changed.
     ///
-    /// Only a request that began after the last end counts again. When endpoints end
-    /// together, as with a hall, a content that runs on several of them is no more the cause
-    /// than others; that it ends one after the other shows that it is.
+    /// Only an attempt that began after the last crash counts again. When endpoints fail
+    /// together, as at the loss of a hall, a request that runs on several of them is no
+    /// more the cause than others; crashes one after the other show that it is.
     pub fn ended(
         &mut self,
         now: Instant,
@@ -119,7 +124,8 @@
         (record.ends >= TOLD_FROM).then(|| record.finding(now, content))
     }
 
-    /// Takes in what another process found; whether it was news.
+    /// Applies a crash report of another process, and returns whether it changed
+    /// anything.
     pub fn learn(&mut self, now: Instant, found: &Finding) -> bool {
         let at = now.checked_sub(found.age).unwrap_or(now);
         if found.ends == 0 {
@@ -136,14 +142,14 @@
         true
     }
 
-    /// Records that an answer to a request of this content came to its end; returns what is
-    /// to be told, if anything was held against it.
+    /// Records a complete answer to a request with this fingerprint, and returns the
+    /// crash report to send, if crashes had been counted.
     pub fn clear(&mut self, now: Instant, content: ContentHash) -> Option<Finding> {
         let cleared = self.clear_at(now, content);
         cleared.then_some(Finding { content, ends: 0, age: Duration::ZERO })
     }
 
-    /// What follows for a request of this content.
+    /// Returns the quarantine status of a fingerprint.
     pub fn standing(&self, now: Instant, content: ContentHash) -> Standing {
         match self.records.get(&content) {
             Some(record) if record.is_over(now) => Standing::Free,
@@ -152,7 +158,7 @@
         }
     }
 
-    /// What another process should know, the latest first.
+    /// Returns the crash reports for another process, the latest first.
     pub fn findings(&self, now: Instant) -> Vec<Finding> {
         let told = self
             .records
@@ -163,14 +169,14 @@
         findings
     }
 
-    /// The contents that are refused.
+    /// Returns the refused fingerprints.
     pub fn refused(&self, now: Instant) -> Vec<ContentHash> {
         let is_refused = |r: &Record| !r.is_over(now) && r.ends >= REFUSED_FROM;
         let refused = self.records.iter().filter(|(_, r)| is_refused(r));
         refused.map(|(content, _)| *content).collect()
     }
 
-    /// Number of contents that are suspected, and that are refused.
+    /// Returns the number of suspected and of refused fingerprints.
     pub fn counts(&self, now: Instant) -> (usize, usize) {
         let live = self.records.values().filter(|r| !r.is_over(now));
         live.fold((0, 0), |(suspected, refused), r| match r.standing() {
@@ -180,12 +186,12 @@
         })
     }
 
-    /// Number of contents that are remembered.
+    /// Returns the number of fingerprints that are kept.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Whether no fingerprint is kept.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
