--- a/crates/larkspring-core/src/call_time.rs
+++ b/crates/larkspring-core/src/call_time.rs
@@ -1,44 +1,46 @@
-//! How long the answer to a call is waited for, learned from the answers before.
+//! Adaptive time-out of calls to a peer, derived from the times of earlier answers.
 
 use std::time::Duration;
 
-/// Time for an answer of one peer.
+/// Time-out of calls to one peer.
 ///
-/// Calls that are given again after a lost answer are as quick as this time is short, so a
-/// fixed bound that is generous for a slow peer costs those of a quick one most of what
-/// their callers have.
+/// A call whose answer was lost is retried only after this time-out, so a fixed time-out
+/// that suffices for a slow peer would cost a call to a quick peer most of its caller's
+/// time.
 #[derive(Debug, Clone)]
 pub struct CallTime {
     bounds: CallBounds,
-    /// Usual time of an answer and its usual distance from that; `None` before the first.
+    /// Smoothed response time and its smoothed mean deviation; `None` before the first
+    /// answer.
     usual: Option<(Duration, Duration)>,
-    /// Answers in a row that did not come.
+    /// Number of consecutive calls without an answer.
     lost: u32,
 }
 
-/// Bounds of the time for an answer.
+/// Bounds of the time-out.
 #[derive(Debug, Clone, Copy)]
 pub struct CallBounds {
-    /// The shortest: what a turn of both busy processes takes.
+    /// The shortest time-out: the response time of both processes when they are busy.
     pub least: Duration,
-    /// The longest, and the time for the first answer.
+    /// The longest time-out, also used for the first call.
     pub most: Duration,
 }
 
-/// Weights of a new answer in the usual time and distance, and distances that an answer may
-/// be late by: as in TCP's timer for repeats (RFC 6298).
+/// Weights of a new response time in the smoothed time and deviation, and the number of
+/// deviations allowed above the smoothed time, as for TCP's retransmission timer (RFC
+/// 6298).
 const TIME_WEIGHT: f64 = 0.125;
 const DISTANCE_WEIGHT: f64 = 0.25;
 const DISTANCES: u32 = 4;
 
 impl CallTime {
-    /// Creates the time of a peer that has not answered yet.
+    /// Creates the time-out of a peer that has not answered yet.
     pub fn new(bounds: CallBounds) -> Self {
         Self { bounds, usual: None, lost: 0 }
     }
 
-    /// Returns how long an answer is waited for now; twice as long after each lost one, so
-    /// that a peer which has become slower is heard again.
+    /// Returns the present time-out. The time-out doubles with each lost answer, so that
+    /// answers of a peer which has become slower arrive in time again.
     pub fn limit(&self) -> Duration {
         let CallBounds { least, most } = self.bounds;
         let Some((time, distance)) = self.usual else { return most };
@@ -46,7 +48,7 @@
         limit.saturating_mul(1 << self.lost.min(8)).min(most)
     }
 
-    /// Records an answer that took `spent`.
+    /// Records an answer that arrived after `spent`.
     pub fn answered(&mut self, spent: Duration) {
         self.lost = 0;
         self.usual = Some(match self.usual {
@@ -58,7 +60,7 @@
         });
     }
 
-    /// Records that an answer did not come within the limit.
+    /// Records that no answer arrived within the time-out.
     pub fn lost(&mut self) {
         self.lost = self.lost.saturating_add(1);
     }
--- a/crates/larkspring-core/src/claims.rs
+++ b/crates/larkspring-core/src/claims.rs
@@ -1,68 +1,68 @@
-//! Which requests have run, for those that run at most once.
+//! Records of requests that run at most once, by idempotency key.
 //!
-//! One table holds the keys of the partitions of one entry. A key stays for the time of
-//! retention, and its answer for as long as there is room.
+//! A table holds the keys of all partitions of an entry. A key is kept for the retention
+//! time, and its answer for as long as there is room.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
 use crate::tenure::{millis, Millis};
 
-/// Keys that were claimed and how their requests ended.
+/// The claimed keys and the results of their requests.
 #[derive(Debug)]
 pub struct Claims<A> {
     limits: ClaimLimits,
     held: HashMap<ClaimKey, Claim<A>>,
     /// Keys in the order of their claims, with the time of the claim.
     order: VecDeque<(Millis, ClaimKey)>,
-    /// Keys with an answer, the oldest first.
+    /// Keys with a stored answer, the oldest first.
     answered: VecDeque<ClaimKey>,
     answer_bytes: usize,
 }
 
-/// Bounds of a table.
+/// Limits of a table.
 #[derive(Debug, Clone, Copy)]
 pub struct ClaimLimits {
-    /// How long a key is kept at least.
+    /// Shortest time for which a key is kept.
     pub retention: Duration,
-    /// Keys that are kept.
+    /// Largest number of keys.
     pub keys: usize,
-    /// Bytes of answers that are kept.
+    /// Total size of the stored answers, in bytes.
     pub answer_bytes: usize,
 }
 
-/// Caller and key, hashed to 128 bits.
+/// 128-bit hash of the caller and the idempotency key.
 pub type ClaimKey = u128;
 
-/// A try to claim a key.
+/// A request to claim a key.
 #[derive(Debug, Clone)]
 pub struct Ask {
     /// The key.
     pub key: ClaimKey,
-    /// Hash of the request, by which a key used twice shows.
+    /// Hash of the request, which reveals a key that is used for two requests.
     pub request: u64,
-    /// Name of the attempt; the same one may ask again.
+    /// Name of the attempt; the same attempt may send the claim again.
     pub attempt: String,
-    /// When an attempt that was not settled counts as unclear.
+    /// Time from which the result of an attempt that was not settled counts as unknown.
     pub deadline: Millis,
 }
 
-/// Answer to a try to claim a key.
+/// Answer to a request to claim a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// The key is the asker's; the request may run.
+    /// The attempt holds the key; the request may run.
     Granted,
-    /// Another attempt is under way.
+    /// Another attempt is running.
     Running,
-    /// The request ran to a whole answer.
+    /// The request ran to a complete answer.
     Ran,
     /// An endpoint may have run the request.
     Unknown,
     /// The key was used for another request.
     Mismatch,
-    /// The table is full; nothing is known of the key.
+    /// The table is full and has no record of the key.
     Full,
-    /// The asked process does not hold the key's partition.
+    /// The receiving process does not hold the key's partition.
     Foreign,
 }
 
@@ -82,21 +82,21 @@
         self as u32 + 1
     }
 
-    /// Reads the number used in messages; a foreign number is `Unknown`.
+    /// Converts the number used in messages; an unrecognised number is `Unknown`.
     pub fn from_code(code: u32) -> Self {
         let place = (code as usize).wrapping_sub(1);
         VERDICTS.get(place).copied().unwrap_or(Self::Unknown)
     }
 }
 
-/// How the attempt that held a key ended.
+/// Result of the attempt that held a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Settled {
-    /// It was proved that no endpoint got the request.
+    /// It was proved that no endpoint received the request.
     NotRun,
-    /// It ran to a whole answer.
+    /// The request ran to a complete answer.
     Ran,
-    /// An endpoint may have run it.
+    /// An endpoint may have run the request.
     Unknown,
 }
 
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Reads the number used in messages; a foreign number is `Unknown`.
+    /// Converts the number used in messages; an unrecognised number is `Unknown`.
     pub fn from_code(code: u32) -> Self {
         match code {
             1 => Self::NotRun,
@@ -120,20 +120,20 @@
     }
 }
 
-/// What is known of one key.
+/// Record of a claimed key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Claim<A> {
-    /// When it was claimed.
+    /// When the key was claimed.
     pub claimed: Millis,
     /// Hash of the request.
     pub request: u64,
-    /// Name of the attempt that holds it.
+    /// Name of the attempt that holds the key.
     pub attempt: String,
-    /// When the attempt counts as unclear if it is not settled.
+    /// Time from which the result of the attempt counts as unknown if it is not settled.
     pub deadline: Millis,
-    /// How the attempt ended, if it has.
+    /// Result of the attempt, once it has ended.
     pub settled: Option<Settled>,
-    /// The answer with its length in bytes, while it is kept.
+    /// The stored answer with its length in bytes.
     pub answer: Option<(A, usize)>,
 }
 
@@ -149,7 +149,8 @@
         }
     }
 
-    /// Claims a key of which all is known, or says who came first, with the answer.
+    /// Claims a key, or returns the verdict on an earlier claim with its stored answer.
+    /// Must only be called for keys on which this process has complete records.
     pub fn claim(&mut self, now: Millis, ask: Ask) -> (Verdict, Option<A>) {
         self.forget(now);
         if let Some(claim) = self.held.get(&ask.key) {
@@ -171,14 +172,16 @@
         (Verdict::Granted, None)
     }
 
-    /// Says what is known of a key, without claiming it; `None` if nothing.
+    /// Returns the verdict on a key without claiming it; `None` if the key is not in the
+    /// table.
     pub fn look(&mut self, now: Millis, ask: &Ask) -> Option<(Verdict, Option<A>)> {
         self.forget(now);
         let claim = self.held.get(&ask.key)?;
         Some((claim.verdict(now, ask), claim.answer.clone().map(|(a, _)| a)))
     }
 
-    /// Records how the attempt that holds a key ended; others' words change nothing.
+    /// Records the result of the attempt that holds a key; results of other attempts are
+    /// ignored.
     pub fn settle(
         &mut self,
         key: ClaimKey,
@@ -205,14 +208,14 @@
         }
     }
 
-    /// Returns all that is known, the oldest claim first.
+    /// Returns all claims, the oldest first.
     pub fn export(&self) -> Vec<(ClaimKey, Claim<A>)> {
         let mut all: Vec<_> = self.held.iter().map(|(k, c)| (*k, c.clone())).collect();
         all.sort_by_key(|(key, claim)| (claim.claimed, *key));
         all
     }
 
-    /// Takes in what another holder knew, the oldest claim first.
+    /// Adds the claims of another holder, given with the oldest first.
     pub fn import(&mut self, claims: Vec<(ClaimKey, Claim<A>)>) {
         for (key, mut claim) in claims {
             let answer = claim.answer.take();
@@ -226,12 +229,12 @@
         }
     }
 
-    /// Number of keys that are kept.
+    /// Returns the number of keys in the table.
     pub fn len(&self) -> usize {
         self.held.len()
     }
 
-    /// Whether no key is kept.
+    /// Whether the table has no keys.
     pub fn is_empty(&self) -> bool {
         self.held.is_empty()
     }
@@ -243,7 +246,7 @@
                 return;
             }
             self.order.pop_front();
-            // The key may have been given back and claimed again since.
+            // The key may have been released and claimed again since.
             if self.held.get(&key).is_some_and(|claim| claim.claimed == at) {
                 self.remove_answer(key);
                 self.held.remove(&key);
--- a/crates/larkspring-core/src/declared.rs
+++ b/crates/larkspring-core/src/declared.rs
@@ -1,4 +1,4 @@
-//! The declared state in force, indexed for look-ups on the path of a request.
+//! The declared state in force, indexed for lookups on the request path.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -20,7 +20,7 @@
 /// The declared state of one revision.
 #[derive(Debug, Default)]
 pub struct State {
-    /// Its revision; 0 before the first.
+    /// Revision of the state; 0 before the first.
     pub revision: Revision,
     parts: Vec<Arc<Part>>,
     callers: HashMap<KeyHash, Arc<Caller>>,
@@ -34,7 +34,8 @@
 #[derive(Debug, Default)]
 struct Engines {
     all: Vec<Arc<Endpoint>>,
-    /// The same in groups by the hash of their names, a power of two of them.
+    /// The same engines grouped by the hash of their names; the number of groups is a
+    /// power of two.
     groups: Vec<Vec<Arc<Endpoint>>>,
 }
 
@@ -43,7 +44,7 @@
 pub struct Part {
     /// Content hash of the chunk.
     pub hash: String,
-    /// The chunk as a message, to be passed on.
+    /// The encoded chunk, for sending to other processes.
     pub message: Bytes,
     /// Sorted by name.
     adapters: Vec<Adapter>,
@@ -76,11 +77,11 @@
 /// A caller as declared.
 #[derive(Debug)]
 pub struct Caller {
-    /// Its name.
+    /// Name of the caller.
     pub name: CallerId,
-    /// The most urgent priority it may ask for.
+    /// The most urgent priority that the caller may request.
     pub priority: u32,
-    /// Requests at a time for each entry; 0 for the entry's own limit.
+    /// Largest number of concurrent requests at each entry; 0 for the entry's own limit.
     pub max_streams: u32,
     key_sha256: KeyHash,
     groups: Vec<String>,
@@ -97,23 +98,23 @@
 /// An endpoint as declared.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Endpoint {
-    /// Its name.
+    /// Name of the endpoint.
     pub name: EndpointId,
-    /// The hall it stands in.
+    /// The hall of the endpoint's VM.
     pub hall: HallId,
-    /// The VM it runs on.
+    /// The VM that the endpoint runs on.
     pub vm: VmId,
-    /// Address of its agent.
+    /// Address of the endpoint's agent.
     pub agent: String,
-    /// What it serves.
+    /// The base model or service that the endpoint serves.
     pub serves: Serves,
-    /// Whether it gets no new requests.
+    /// Whether the endpoint is draining and gets no new requests.
     pub leaving: bool,
-    /// Whether it checks the epoch of an order.
+    /// Whether the endpoint checks the epoch of a command.
     pub checks_fences: bool,
 }
 
-/// What an endpoint serves.
+/// The base model or service that an endpoint serves.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Serves {
     /// Adapters of a base model.
@@ -122,12 +123,12 @@
     Service(ServiceId),
 }
 
-/// What a request to a model engine named.
+/// The adapter that the model name of a request resolves to.
 #[derive(Debug, Clone)]
 pub struct ModelChoice {
     /// The exact adapter.
     pub target: Target,
-    /// The model it is tuned from.
+    /// The base model that the adapter is tuned from.
     pub base: BaseId,
     /// Whether the request runs at most once.
     pub not_repeatable: bool,
@@ -154,12 +155,12 @@
     pub fn caller(&self, key: &str) -> Option<Arc<Caller>> {
         let hash = key_hash(key);
         let caller = self.callers.get(&hash)?;
-        // The look-up is by hash, so its time says nothing of the key itself.
+        // The lookup is by hash, so its time reveals nothing about the key.
         let same: bool = caller.key_sha256.as_bytes().ct_eq(hash.as_bytes()).into();
         same.then(|| caller.clone())
     }
 
-    /// Finds the exact adapter that `model` names for `caller`.
+    /// Resolves the model name `model` to an exact adapter that `caller` may use.
     pub fn resolve(&self, model: &str, caller: &Caller) -> Result<ModelChoice, Refusal> {
         let (name, version) = match model.split_once(VERSION_MARK) {
             Some((name, version)) => (name, Some(version)),
@@ -185,7 +186,8 @@
         })
     }
 
-    /// Checks the call of a plain service and says whether it runs at most once.
+    /// Checks that `caller` may call a plain service, and returns whether the call runs
+    /// at most once.
     pub fn service_call(
         &self,
         service: &str,
@@ -203,7 +205,8 @@
         Ok(rules.any(|(m, prefix)| m == method && path.starts_with(prefix)))
     }
 
-    /// Returns where the weight store keeps an exact adapter, if it is declared.
+    /// Returns the location of an exact adapter in the weight store, if the adapter is
+    /// declared.
     pub fn weights(&self, target: &Target) -> Option<&str> {
         let adapter = self.adapter(&target.adapter)?;
         adapter.version(&target.version).map(|v| &*v.weights)
@@ -226,7 +229,8 @@
         self.by_base.get(base).map_or(&[], |engines| &engines.all)
     }
 
-    /// Returns the endpoints of a base model among which a target has its candidates.
+    /// Returns the endpoints of a base model from which the candidates for a target are
+    /// chosen.
     pub fn engines_near(&self, base: &str, target: TargetHash) -> Vec<&Arc<Endpoint>> {
         self.by_base.get(base).map_or_else(Vec::new, |engines| engines.near(target))
     }
@@ -287,7 +291,7 @@
 }
 
 impl Engines {
-    /// Sorts the engines into groups of [`GROUP`] on average.
+    /// Divides the engines into groups of [`GROUP`] engines on average.
     fn group(&mut self) {
         let count = self.all.len().div_ceil(GROUP).next_power_of_two();
         self.groups = vec![Vec::new(); count];
@@ -296,7 +300,8 @@
         }
     }
 
-    /// Returns the groups that a target ranks first, up to enough endpoints.
+    /// Returns the endpoints of the groups that rank first for a target, until there are
+    /// [`NEAR`] of them.
     fn near(&self, target: TargetHash) -> Vec<&Arc<Endpoint>> {
         if self.all.len() <= NEAR {
             return self.all.iter().collect();
@@ -320,13 +325,13 @@
     }
 }
 
-/// Endpoints of a group, on average.
+/// Average number of endpoints in a group.
 const GROUP: usize = 24;
-/// Endpoints among which a target has its candidates, at least.
+/// Least number of endpoints from which the candidates for a target are chosen.
 const NEAR: usize = 48;
 
 impl Part {
-    /// Reads and indexes a chunk that another process passed on.
+    /// Decodes and indexes a chunk received from another process.
     pub fn from_message(hash: &str, message: Bytes) -> Result<Self, DecodeError> {
         Ok(Self::index(hash, &wire::Chunk::decode(message)?))
     }
@@ -362,7 +367,7 @@
     }
 }
 
-/// Returns the place among `count` chunks of what is named `name`.
+/// Returns the index of the chunk, out of `count`, that holds the item named `name`.
 pub fn place(name: &str, count: usize) -> usize {
     (xxh3_64(name.as_bytes()) % count.max(1) as u64) as usize
 }
@@ -373,7 +378,7 @@
     digest.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Names that many adapters of a chunk share, each kept once.
+/// Interns names that many adapters of a chunk share.
 #[derive(Default)]
 struct Names(HashMap<String, Arc<str>>);
 
--- a/crates/larkspring-core/src/ids.rs
+++ b/crates/larkspring-core/src/ids.rs
@@ -1,4 +1,4 @@
-//! Names and numbers that identify things across processes.
+//! Identifiers that are shared between processes.
 
 use std::fmt::{self, Display, Formatter};
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 pub type CallerId = Arc<str>;
 /// Name of a workspace.
 pub type WorkspaceId = Arc<str>;
-/// Hash of a workspace's name, as carried between entries and agents.
+/// Hash of a workspace's name, as sent between entries and agents.
 pub type WorkspaceHash = u64;
 /// Name of an adapter.
 pub type AdapterId = Arc<str>;
@@ -27,19 +27,19 @@
 pub type VmId = Arc<str>;
 /// Name of a hall.
 pub type HallId = Arc<str>;
-/// Number of an attempt within one agent.
+/// Number of an attempt, unique within an agent.
 pub type AttemptId = u64;
-/// Number of a declared state; a higher one replaces a lower one.
+/// Revision of the declared state; a higher revision replaces a lower one.
 pub type Revision = u64;
-/// Name that an engine gives to one run of itself.
+/// Name that an engine gives to its present run.
 pub type Incarnation = Arc<str>;
-/// When a run of an endpoint began, in Unix milliseconds of its own clock.
+/// Start time of an endpoint's run, in Unix milliseconds of the endpoint's own clock.
 pub type StartMs = u64;
-/// Hash of an exact adapter, as carried in hints.
+/// Hash of an exact adapter, as sent in load reports.
 pub type TargetHash = u64;
 /// Hash of a run of an endpoint and one attempt there.
 pub type AttemptHash = u64;
-/// Hash of what a request asks and for whom: alike for all attempts at it.
+/// Fingerprint of a request: a hash of its content and caller, the same for all attempts.
 pub type ContentHash = u64;
 
 /// Separates the adapter from the version in the name of a model.
@@ -60,7 +60,7 @@
         Self { adapter: adapter.into(), version: version.into() }
     }
 
-    /// Returns the hash that stands for the target in hints.
+    /// Returns the hash that identifies the target in load reports.
     pub fn hash(&self) -> TargetHash {
         xxh3_64(self.to_string().as_bytes())
     }
@@ -72,13 +72,13 @@
     }
 }
 
-/// How often the platform's store was restored from a copy.
+/// Number of times that the platform's store was restored from a backup.
 pub type StoreEpoch = u64;
 
 /// A point in the history of the platform's store.
 ///
-/// A restored store gives revisions out again, so a revision says nothing by itself; points
-/// are ordered by their epoch first.
+/// A restored store assigns the same revisions again, so a revision alone does not
+/// identify a point; points are ordered by epoch first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct StorePoint {
     epoch: StoreEpoch,
@@ -91,17 +91,17 @@
         Self { epoch, revision }
     }
 
-    /// Which history the point is of.
+    /// Returns the epoch of the store's history.
     pub fn epoch(self) -> StoreEpoch {
         self.epoch
     }
 
-    /// The store's count of changes in that history.
+    /// Returns the store's revision within the epoch.
     pub fn revision(self) -> u64 {
         self.revision
     }
 
-    /// A point just after this one.
+    /// Returns the point just after this one.
     pub fn next(self) -> Self {
         Self { revision: self.revision + 1, ..self }
     }
--- a/crates/larkspring-core/src/outcome.rs
+++ b/crates/larkspring-core/src/outcome.rs
@@ -1,16 +1,16 @@
-//! How a request ended when it has no whole answer.
+//! Results of requests that end without a complete answer.
 
 use std::fmt::{self, Display, Formatter};
 use std::time::Duration;
 
-/// What is known of a request without a whole answer.
+/// Whether a request without a complete answer has run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// No endpoint got the request.
+    /// No endpoint received the request.
     NotRun,
     /// An endpoint may have run the request.
     Unknown,
-    /// An endpoint ran the request and it did not succeed.
+    /// An endpoint ran the request without success.
     Failed,
 }
 
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Reads the number used in messages; a foreign number is `Unknown`.
+    /// Converts the number used in messages; an unrecognised number is `Unknown`.
     pub fn from_code(code: u32) -> Self {
         match code {
             1 => Self::NotRun,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Returns the word used towards callers.
+    /// Returns the name used in answers to callers.
     pub fn name(self) -> &'static str {
         match self {
             Self::NotRun => "not-run",
@@ -43,10 +43,10 @@
     }
 }
 
-/// Step of a request, from the entry to the endpoint.
+/// Step in the processing of a request, from the entry to the endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Step {
-    /// Reading the head and the body.
+    /// Reading the head and the body of the request.
     Read,
     /// Finding the caller by its key.
     Authenticate,
@@ -60,7 +60,7 @@
     Choose,
     /// Connecting to the endpoint's agent.
     Connect,
-    /// Waiting at the agent for a place.
+    /// Waiting at the agent for a batch slot.
     Queue,
     /// Waiting at the agent for the adapter.
     Load,
@@ -72,7 +72,7 @@
     Stream,
 }
 
-/// Steps by the number used in messages, which starts at 1.
+/// Steps in the order of the numbers used in messages, which start at 1.
 const STEPS: [Step; 12] = [
     Step::Read,
     Step::Authenticate,
@@ -94,13 +94,13 @@
         self as u32 + 1
     }
 
-    /// Reads the number used in messages; a foreign number is the last step.
+    /// Converts the number used in messages; an unrecognised number is the last step.
     pub fn from_code(code: u32) -> Self {
         let place = (code as usize).wrapping_sub(1);
         STEPS.get(place).copied().unwrap_or(Self::Stream)
     }
 
-    /// Returns the word used towards callers and in logs.
+    /// Returns the name used in answers to callers and in logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Read => "read",
@@ -119,25 +119,25 @@
     }
 }
 
-/// Why a request ended without a whole answer, with the step and the peer.
+/// Reason why a request ended without a complete answer, with the step and the peer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refusal {
-    /// What is known of the request.
+    /// Whether the request has run.
     pub outcome: Outcome,
-    /// Where it ended.
+    /// The step at which the request ended.
     pub step: Step,
     /// Address or name of the peer concerned; empty for the process itself.
     pub peer: String,
-    /// One sentence for a person.
+    /// Description in a sentence, for people.
     pub message: String,
-    /// When a resend may succeed; `None` if the same request never will.
+    /// Time after which a retry may succeed; `None` if the same request never will.
     pub retry_after: Option<Duration>,
-    /// Whether another endpoint may answer now.
+    /// Whether another endpoint may answer the request now.
     pub elsewhere: bool,
 }
 
 impl Refusal {
-    /// Creates a refusal of a request that no endpoint got.
+    /// Creates a refusal of a request that no endpoint received.
     pub fn not_run(step: Step, message: impl Into<String>) -> Self {
         Self::new(Outcome::NotRun, step, message)
     }
@@ -152,7 +152,7 @@
         Self::new(Outcome::Failed, step, message)
     }
 
-    /// Sets when to come back.
+    /// Sets the time after which a retry may succeed.
     pub fn retry_after(mut self, after: Duration) -> Self {
         self.retry_after = Some(after);
         self
@@ -164,8 +164,9 @@
         self
     }
 
-    /// Returns the refusal as the last of several attempts at one request, of which an
-    /// earlier one ended as `earlier`: what may have run then is not "not run" now.
+    /// Returns the refusal of the last of several attempts at a request, given the
+    /// outcome `earlier` of an earlier attempt: a request that may have run then is not
+    /// reported as "not run".
     pub fn after(mut self, earlier: Option<Outcome>) -> Self {
         if let (Outcome::NotRun, Some(earlier)) = (self.outcome, earlier) {
             self.outcome = earlier;
@@ -173,7 +174,7 @@
         self
     }
 
-    /// Marks that another endpoint may answer now.
+    /// Marks that another endpoint may answer the request now.
     pub fn elsewhere(mut self) -> Self {
         self.elsewhere = true;
         self
--- a/crates/larkspring-core/src/tenure.rs
+++ b/crates/larkspring-core/src/tenure.rs
@@ -1,56 +1,59 @@
-//! Who answers for the keys of a partition, and for which births.
+//! Tenures: the entry that holds a partition of the idempotency keys, and for which
+//! births.
 //!
-//! A partition's tenure names a run of an entry and a range of births. Only an update of
-//! the object API changes it, and no two tenures of a partition share a birth. A holder
-//! that was paused can thus grant nothing that its successor also grants, whatever their
-//! clocks say.
+//! The birth of a key is the creation time in its UUID (version 7); other keys have none.
+//! A partition's tenure names a run of an entry and a range of births. A tenure changes
+//! only by an update in the object API, and no birth belongs to two tenures of a
+//! partition. So a holder that was paused never grants a key that its successor also
+//! grants, whatever their clocks say.
 
 use std::time::Duration;
 
 use larkspring_proto::keys::Tenure;
 
-/// Partitions of the keys.
+/// Number of partitions of the keys.
 pub const PARTITIONS: usize = 64;
 
-/// A point in time, in milliseconds since 1970, as births are given.
+/// A point in time in Unix milliseconds, also used for births.
 pub type Millis = u64;
-/// Number of a run of an entry.
+/// Identifies a run of an entry.
 pub type RunId = u64;
 
-/// Lengths of time that tenures depend on.
+/// Durations that tenures depend on.
 #[derive(Debug, Clone, Copy)]
 pub struct Terms {
     /// How far ahead a range of births reaches.
     pub lease: Duration,
-    /// How long a key without a birth is remembered at least.
+    /// Shortest time for which a key without a birth is kept.
     pub retention: Duration,
-    /// By how much clocks may differ.
+    /// Largest difference between two clocks.
     pub skew: Duration,
 }
 
-/// Whether a key is one that the holder knows everything of.
+/// Whether the holder's records of a key are complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Standing {
-    /// The holder knows of each attempt at the key.
+    /// The holder has a record of each attempt at the key.
     Known,
-    /// Attempts may have been granted by an earlier holder, of which nothing is known.
+    /// An earlier holder may have granted attempts of which the holder has no record.
     Lost,
-    /// As `Lost` now; the holder will know at the time given.
+    /// As `Lost` until the given time, and as `Known` from then on.
     LostUntil(Millis),
-    /// The key is not the holder's yet, or no longer.
+    /// The holder does not hold the key yet, or no longer.
     Foreign,
 }
 
-/// What a candidate knows of the present holder.
+/// Knowledge of a candidate about the present holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Holder {
-    /// It may act.
+    /// The holder may still act.
     MayLive,
-    /// It was proved that its run has ended.
+    /// It was proved that the holder's run has ended.
     Ended,
 }
 
-/// Says how a key stands with the holder of `t`; `birth` is 0 for a key without one.
+/// Returns whether the holder of `t` has complete records of a key; `birth` is 0 for a
+/// key without a birth.
 pub fn standing(t: &Tenure, terms: &Terms, now: Millis, birth: Millis) -> Standing {
     if birth == 0 {
         return standing_without_birth(t, terms, now);
@@ -81,7 +84,7 @@
     }
 }
 
-/// Returns the tenure by which `me` may take a partition over, if it may now.
+/// Returns the tenure with which `me` may take over a partition, if that is allowed now.
 pub fn takeover(
     old: &Tenure,
     me: &Tenure,
@@ -95,8 +98,8 @@
     let (from_ms, since_ms) = match holder {
         _ if never_held => (0, 0),
         _ if lapsed => (old.until_ms, now),
-        // The old holder granted births up to its clock and the skew; clocks differ by
-        // as much again.
+        // The old holder granted births up to the skew past its clock, and its clock may
+        // be ahead by the skew as well.
         Holder::Ended => (now + 2 * skew, now),
         Holder::MayLive => return None,
     };
@@ -104,25 +107,25 @@
     Some(Tenure { from_ms, since_ms, until_ms, ..me.clone() })
 }
 
-/// Returns the tenure of a successor that was told all that the holder knows.
+/// Returns the tenure of a successor that has received all records of the holder.
 pub fn handover(t: &Tenure, successor: &Tenure) -> Tenure {
     let Tenure { from_ms, until_ms, since_ms, .. } = *t;
     Tenure { from_ms, until_ms, since_ms, ..successor.clone() }
 }
 
-/// Returns the tenure with its range extended, if it is time to.
+/// Returns the tenure with an extended range, if a renewal is due.
 pub fn renewal(t: &Tenure, terms: &Terms, now: Millis) -> Option<Tenure> {
     let lease = millis(terms.lease);
     let due = t.until_ms < now + lease - lease / RENEWALS;
-    // A lapsed tenure may be taken over by anyone, its holder included.
+    // An expired tenure may be taken over by any entry, including its holder.
     let held = now < t.until_ms;
     (due && held).then(|| Tenure { until_ms: now + lease, ..t.clone() })
 }
 
-/// A range is extended when this part of the lease has passed.
+/// Renewals in a lease: a range is extended when one eighth of the lease has passed.
 const RENEWALS: u64 = 8;
 
-/// Whether two tenures are the same run's.
+/// Whether two tenures belong to the same run.
 pub fn same_run(a: &Tenure, b: &Tenure) -> bool {
     a.holder == b.holder && a.run == b.run
 }
--- a/crates/larkspring-core/src/workspaces.rs
+++ b/crates/larkspring-core/src/workspaces.rs
@@ -1,4 +1,4 @@
-//! Workspaces: whom callers belong to, the keys that show it, and what each may use.
+//! Workspaces: the customers that callers belong to, with their keys and rate limits.
 
 use std::collections::{HashMap, HashSet};
 use std::fmt::{self, Debug, Formatter};
@@ -16,42 +16,43 @@
     count: usize,
 }
 
-/// A customer whose callers share keys, a rank and a limit.
+/// A customer whose callers share keys, a priority and a limit.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Workspace {
-    /// Its name.
+    /// Name of the workspace.
     pub name: WorkspaceId,
-    /// Rank of its requests, which goes before that of their route; 0 is the most urgent.
+    /// Priority of the workspace's requests, which overrides that of their route; 0 is
+    /// the most urgent.
     pub priority: Option<u32>,
-    /// What it may use over all entries together; `None` for no limit.
+    /// Limit over all entries together; `None` for no limit.
     pub limit: Option<Limit>,
 }
 
-/// What a workspace may use over all entries together.
+/// Rate limit of a workspace over all entries together.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limit {
-    /// Units a second.
+    /// Rate, in units a second.
     pub per_sec: f64,
-    /// Units on top at once, after a rest.
+    /// Units that may be used at once on top of the rate, after an idle time.
     pub burst: f64,
-    /// What is counted.
+    /// The unit of the figures.
     pub unit: Unit,
 }
 
-/// What a limit counts.
+/// Unit of a limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Unit {
-    /// Each request as one.
+    /// Requests, each counted as one unit.
     Requests,
     /// Tokens of prompt and answer.
     Tokens {
-        /// Tokens that a request counts as which names none.
+        /// Tokens counted for a request that states no number of tokens.
         unsized_request: f64,
     },
 }
 
 impl Limit {
-    /// Units that a request counts as; `tokens` are those of its prompt and answer.
+    /// Returns the units counted for a request with `tokens` in its prompt and answer.
     pub fn cost(&self, tokens: Option<u64>) -> f64 {
         match self.unit {
             Unit::Requests => 1.0,
@@ -62,7 +63,7 @@
     }
 }
 
-/// SHA-256 of a caller's key; the key itself is kept nowhere.
+/// SHA-256 of a caller's key; the key itself is not stored.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct KeyHash([u8; 32]);
 
@@ -74,40 +75,40 @@
 }
 
 impl Debug for KeyHash {
-    /// Keeps what identifies a key out of logs and panics.
+    /// Keeps the hash, which identifies a key, out of logs and panic messages.
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         f.write_str("KeyHash(..)")
     }
 }
 
-/// What a request shows of its key.
+/// The credential that a request carries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Credential {
     /// No key.
     Missing,
-    /// More than one key, or something that can't be one.
+    /// More than one key, or a value that can't be a key.
     Malformed,
-    /// One key.
+    /// A single key.
     Key(KeyHash),
 }
 
 quick_error! {
-    /// Why declared workspaces make no sense. The texts never hold a key.
+    /// Error in declared workspaces. The texts never hold a key.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum WorkspaceError {
-        /// Two workspaces have one name.
+        /// Two workspaces have the same name.
         SameName(name: String) { display("workspaces: {name}: declared twice") }
-        /// A workspace has a key without characters.
+        /// A workspace has an empty key.
         EmptyKey(name: String) { display("workspaces: {name}: keys: one is empty") }
         /// A key belongs to two workspaces.
         SharedKey(first: String, second: String) {
             display("workspaces: {second}: keys: one is also a key of {first}")
         }
-        /// A figure of a limit is negative or no number.
+        /// A figure of a limit is negative or not a number.
         Figure(name: String, field: &'static str, value: String) {
             display("workspaces: {name}: {field}: {value} is not a number from 0 on")
         }
-        /// A limit counts something unknown.
+        /// A limit has an unknown unit.
         Unit(name: String, value: String) {
             display("workspaces: {name}: unit: {value:?} is neither requests nor tokens")
         }
@@ -144,12 +145,12 @@
 
     /// Finds the workspace of a key.
     ///
-    /// The look-up is by hash, so the time that it takes says nothing of the key itself.
+    /// The lookup is by hash, so the time that it takes reveals nothing about the key.
     pub fn find(&self, key: &KeyHash) -> Option<&Arc<Workspace>> {
         self.by_key.get(key)
     }
 
-    /// Number of workspaces.
+    /// Returns the number of workspaces.
     pub fn count(&self) -> usize {
         self.count
     }
