--- a/crates/larkspring-core/src/call_time.rs
+++ b/crates/larkspring-core/src/call_time.rs
@@ -12,9 +12,9 @@
     bounds: CallBounds,
     /// Smoothed response time and its smoothed mean deviation; `None` before the first
     /// answer.
-    usual: Option<(Duration, Duration)>,
+    smoothed: Option<(Duration, Duration)>,
     /// Number of consecutive calls without an answer.
-    lost: u32,
+    losses: u32,
 }
 
 /// Bounds of the time-out.
@@ -30,42 +30,42 @@
 /// deviations allowed above the smoothed time, as for TCP's retransmission timer (RFC
 /// 6298).
 const TIME_WEIGHT: f64 = 0.125;
-const DISTANCE_WEIGHT: f64 = 0.25;
-const DISTANCES: u32 = 4;
+const DEVIATION_WEIGHT: f64 = 0.25;
+const ALLOWED_DEVIATIONS: u32 = 4;
 
 impl CallTime {
     /// Creates the time-out of a peer that has not answered yet.
     pub fn new(bounds: CallBounds) -> Self {
-        Self { bounds, usual: None, lost: 0 }
+        Self { bounds, smoothed: None, losses: 0 }
     }
 
     /// Returns the present time-out. The time-out doubles with each lost answer, so that
     /// answers of a peer which has become slower arrive in time again.
     pub fn limit(&self) -> Duration {
         let CallBounds { least, most } = self.bounds;
-        let Some((time, distance)) = self.usual else { return most };
-        let limit = (time + distance * DISTANCES).max(least);
-        limit.saturating_mul(1 << self.lost.min(8)).min(most)
+        let Some((time, deviation)) = self.smoothed else { return most };
+        let limit = (time + deviation * ALLOWED_DEVIATIONS).max(least);
+        limit.saturating_mul(1 << self.losses.min(8)).min(most)
     }
 
     /// Records an answer that arrived after `spent`.
     pub fn answered(&mut self, spent: Duration) {
-        self.lost = 0;
-        self.usual = Some(match self.usual {
+        self.losses = 0;
+        self.smoothed = Some(match self.smoothed {
             None => (spent, spent / 2),
-            Some((time, distance)) => (
-                mixed(time, spent, TIME_WEIGHT),
-                mixed(distance, time.abs_diff(spent), DISTANCE_WEIGHT),
+            Some((time, deviation)) => (
+                weighted_mean(time, spent, TIME_WEIGHT),
+                weighted_mean(deviation, time.abs_diff(spent), DEVIATION_WEIGHT),
             ),
         });
     }
 
     /// Records that no answer arrived within the time-out.
     pub fn lost(&mut self) {
-        self.lost = self.lost.saturating_add(1);
+        self.losses = self.losses.saturating_add(1);
     }
 }
 
-fn mixed(old: Duration, new: Duration, weight: f64) -> Duration {
+fn weighted_mean(old: Duration, new: Duration, weight: f64) -> Duration {
     old.mul_f64(1.0 - weight) + new.mul_f64(weight)
 }
--- a/crates/larkspring-core/src/claims.rs
+++ b/crates/larkspring-core/src/claims.rs
@@ -12,7 +12,7 @@
 #[derive(Debug)]
 pub struct Claims<A> {
     limits: ClaimLimits,
-    held: HashMap<ClaimKey, Claim<A>>,
+    claims: HashMap<ClaimKey, Claim<A>>,
     /// Keys in the order of their claims, with the time of the claim.
     order: VecDeque<(Millis, ClaimKey)>,
     /// Keys with a stored answer, the oldest first.
@@ -84,8 +84,8 @@
 
     /// Converts the number used in messages; an unrecognised number is `Unknown`.
     pub fn from_code(code: u32) -> Self {
-        let place = (code as usize).wrapping_sub(1);
-        VERDICTS.get(place).copied().unwrap_or(Self::Unknown)
+        let index = (code as usize).wrapping_sub(1);
+        VERDICTS.get(index).copied().unwrap_or(Self::Unknown)
     }
 }
 
@@ -142,7 +142,7 @@
     pub fn new(limits: ClaimLimits) -> Self {
         Self {
             limits,
-            held: HashMap::new(),
+            claims: HashMap::new(),
             order: VecDeque::new(),
             answered: VecDeque::new(),
             answer_bytes: 0,
@@ -152,11 +152,11 @@
     /// Claims a key, or returns the verdict on an earlier claim with its stored answer.
     /// Must only be called for keys on which this process has complete records.
     pub fn claim(&mut self, now: Millis, ask: Ask) -> (Verdict, Option<A>) {
-        self.forget(now);
-        if let Some(claim) = self.held.get(&ask.key) {
+        self.drop_expired(now);
+        if let Some(claim) = self.claims.get(&ask.key) {
             return (claim.verdict(now, &ask), claim.answer.clone().map(|(a, _)| a));
         }
-        if self.held.len() >= self.limits.keys {
+        if self.claims.len() >= self.limits.keys {
             return (Verdict::Full, None);
         }
         self.order.push_back((now, ask.key));
@@ -168,15 +168,15 @@
             settled: None,
             answer: None,
         };
-        self.held.insert(ask.key, claim);
+        self.claims.insert(ask.key, claim);
         (Verdict::Granted, None)
     }
 
     /// Returns the verdict on a key without claiming it; `None` if the key is not in the
     /// table.
     pub fn look(&mut self, now: Millis, ask: &Ask) -> Option<(Verdict, Option<A>)> {
-        self.forget(now);
-        let claim = self.held.get(&ask.key)?;
+        self.drop_expired(now);
+        let claim = self.claims.get(&ask.key)?;
         Some((claim.verdict(now, ask), claim.answer.clone().map(|(a, _)| a)))
     }
 
@@ -189,12 +189,12 @@
         settled: Settled,
         answer: Option<(A, usize)>,
     ) {
-        let Some(claim) = self.held.get_mut(&key) else { return };
+        let Some(claim) = self.claims.get_mut(&key) else { return };
         if claim.attempt != attempt || claim.settled.is_some() {
             return;
         }
         if settled == Settled::NotRun {
-            self.held.remove(&key);
+            self.claims.remove(&key);
             return;
         }
         claim.settled = Some(settled);
@@ -204,13 +204,13 @@
             claim.answer = Some((answer, len));
             self.answered.push_back(key);
             self.answer_bytes += len;
-            self.drop_answers();
+            self.evict_answers();
         }
     }
 
     /// Returns all claims, the oldest first.
     pub fn export(&self) -> Vec<(ClaimKey, Claim<A>)> {
-        let mut all: Vec<_> = self.held.iter().map(|(k, c)| (*k, c.clone())).collect();
+        let mut all: Vec<_> = self.claims.iter().map(|(k, c)| (*k, c.clone())).collect();
         all.sort_by_key(|(key, claim)| (claim.claimed, *key));
         all
     }
@@ -222,7 +222,7 @@
             let settled = claim.settled.take();
             let attempt = claim.attempt.clone();
             self.order.push_back((claim.claimed, key));
-            self.held.insert(key, claim);
+            self.claims.insert(key, claim);
             if let Some(settled) = settled {
                 self.settle(key, &attempt, settled, answer);
             }
@@ -231,30 +231,30 @@
 
     /// Returns the number of keys in the table.
     pub fn len(&self) -> usize {
-        self.held.len()
+        self.claims.len()
     }
 
     /// Whether the table has no keys.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.claims.is_empty()
     }
 
-    fn forget(&mut self, now: Millis) {
-        let keep = millis(self.limits.retention);
+    fn drop_expired(&mut self, now: Millis) {
+        let retention = millis(self.limits.retention);
         while let Some((at, key)) = self.order.front().copied() {
-            if now < at + keep {
+            if now < at + retention {
                 return;
             }
             self.order.pop_front();
             // The key may have been released and claimed again since.
-            if self.held.get(&key).is_some_and(|claim| claim.claimed == at) {
+            if self.claims.get(&key).is_some_and(|claim| claim.claimed == at) {
                 self.remove_answer(key);
-                self.held.remove(&key);
+                self.claims.remove(&key);
             }
         }
     }
 
-    fn drop_answers(&mut self) {
+    fn evict_answers(&mut self) {
         while self.answer_bytes > self.limits.answer_bytes {
             let Some(key) = self.answered.pop_front() else { return };
             self.remove_answer(key);
@@ -262,7 +262,7 @@
     }
 
     fn remove_answer(&mut self, key: ClaimKey) {
-        let claim = self.held.get_mut(&key);
+        let claim = self.claims.get_mut(&key);
         if let Some((_, len)) = claim.and_then(|claim| claim.answer.take()) {
             self.answer_bytes -= len;
         }
--- a/crates/larkspring-core/src/declared.rs
+++ b/crates/larkspring-core/src/declared.rs
@@ -141,7 +141,7 @@
         for part in &parts {
             state.add(part);
         }
-        state.by_base.values_mut().for_each(Engines::group);
+        state.by_base.values_mut().for_each(Engines::build_groups);
         state.parts = parts;
         state
     }
@@ -169,7 +169,7 @@
         let Some(adapter) = self.adapter(name) else {
             return Err(unknown_name("adapter", name));
         };
-        if !allowed(&adapter.groups, &caller.groups) {
+        if !is_allowed(&adapter.groups, &caller.groups) {
             return Err(forbidden("adapter", name));
         }
         let version = version.unwrap_or(&adapter.default_version);
@@ -198,7 +198,7 @@
         let Some(found) = self.services.get(service) else {
             return Err(unknown_name("service", service));
         };
-        if !allowed(&found.groups, &caller.groups) {
+        if !is_allowed(&found.groups, &caller.groups) {
             return Err(forbidden("service", service));
         }
         let mut rules = found.not_repeatable.iter();
@@ -218,7 +218,7 @@
             .parts
             .iter()
             .flat_map(|part| &part.adapters)
-            .filter(|adapter| allowed(&adapter.groups, &caller.groups));
+            .filter(|adapter| is_allowed(&adapter.groups, &caller.groups));
         let mut names: Vec<_> = reachable.flat_map(Adapter::model_names).collect();
         names.sort();
         names
@@ -232,7 +232,7 @@
     /// Returns the endpoints of a base model from which the candidates for a target are
     /// chosen.
     pub fn engines_near(&self, base: &str, target: TargetHash) -> Vec<&Arc<Endpoint>> {
-        self.by_base.get(base).map_or_else(Vec::new, |engines| engines.near(target))
+        self.by_base.get(base).map_or_else(Vec::new, |engines| engines.candidates(target))
     }
 
     /// Returns the endpoints of a plain service.
@@ -291,9 +291,9 @@
 }
 
 impl Engines {
-    /// Divides the engines into groups of [`GROUP`] engines on average.
-    fn group(&mut self) {
-        let count = self.all.len().div_ceil(GROUP).next_power_of_two();
+    /// Divides the engines into groups of [`MEAN_GROUP_SIZE`] engines on average.
+    fn build_groups(&mut self) {
+        let count = self.all.len().div_ceil(MEAN_GROUP_SIZE).next_power_of_two();
         self.groups = vec![Vec::new(); count];
         for endpoint in &self.all {
             self.groups[place(&endpoint.name, count)].push(endpoint.clone());
@@ -301,34 +301,34 @@
     }
 
     /// Returns the endpoints of the groups that rank first for a target, until there are
-    /// [`NEAR`] of them.
-    fn near(&self, target: TargetHash) -> Vec<&Arc<Endpoint>> {
-        if self.all.len() <= NEAR {
+    /// [`MIN_CANDIDATE_POOL`] of them.
+    fn candidates(&self, target: TargetHash) -> Vec<&Arc<Endpoint>> {
+        if self.all.len() <= MIN_CANDIDATE_POOL {
             return self.all.iter().collect();
         }
         let weight = |group: usize| xxh3_64_with_seed(&group.to_le_bytes(), target);
         let mut ranked: Vec<_> = (0..self.groups.len()).collect();
-        let first = NEAR.div_ceil(GROUP) * 2;
+        let first = MIN_CANDIDATE_POOL.div_ceil(MEAN_GROUP_SIZE) * 2;
         if ranked.len() > first {
             ranked.select_nth_unstable_by_key(first, |g| Reverse(weight(*g)));
             ranked.truncate(first);
         }
         ranked.sort_by_cached_key(|g| Reverse(weight(*g)));
-        let mut near = Vec::new();
+        let mut candidates = Vec::new();
         for group in ranked {
-            near.extend(&self.groups[group]);
-            if near.len() >= NEAR {
+            candidates.extend(&self.groups[group]);
+            if candidates.len() >= MIN_CANDIDATE_POOL {
                 break;
             }
         }
-        near
+        candidates
     }
 }
 
 /// Average number of endpoints in a group.
-const GROUP: usize = 24;
+const MEAN_GROUP_SIZE: usize = 24;
 /// Least number of endpoints from which the candidates for a target are chosen.
-const NEAR: usize = 48;
+const MIN_CANDIDATE_POOL: usize = 48;
 
 impl Part {
     /// Decodes and indexes a chunk received from another process.
@@ -338,7 +338,7 @@
 
     /// Indexes the chunk with content hash `hash`.
     pub fn index(hash: &str, chunk: &wire::Chunk) -> Self {
-        let mut names = Names::default();
+        let mut names = NameInterner::default();
         let adapters = chunk.adapters.iter().map(|a| index_adapter(a, &mut names));
         let mut adapters: Vec<_> = adapters.collect();
         adapters.sort_by(|a, b| a.name.cmp(&b.name));
@@ -367,7 +367,7 @@
     }
 }
 
-/// Returns the index of the chunk, out of `count`, that holds the item named `name`.
+/// Returns the index of the chunk or group, out of `count`, that the name `name` belongs to.
 pub fn place(name: &str, count: usize) -> usize {
     (xxh3_64(name.as_bytes()) % count.max(1) as u64) as usize
 }
@@ -380,27 +380,27 @@
 
 /// Interns names that many adapters of a chunk share.
 #[derive(Default)]
-struct Names(HashMap<String, Arc<str>>);
+struct NameInterner(HashMap<String, Arc<str>>);
 
-impl Names {
-    fn get(&mut self, name: &str) -> Arc<str> {
+impl NameInterner {
+    fn intern(&mut self, name: &str) -> Arc<str> {
         let known = self.0.entry(name.into()).or_insert_with(|| name.into());
         known.clone()
     }
 }
 
-fn index_adapter(adapter: &wire::Adapter, names: &mut Names) -> Adapter {
+fn index_adapter(adapter: &wire::Adapter, names: &mut NameInterner) -> Adapter {
     let versions = adapter.versions.iter().filter(|v| !v.retired);
     let versions = versions.map(|v| Version {
-        name: names.get(&v.name),
+        name: names.intern(&v.name),
         weights: v.weights.as_str().into(),
     });
     let versions = versions.collect();
     Adapter {
         name: adapter.name.as_str().into(),
-        base: names.get(&adapter.base),
+        base: names.intern(&adapter.base),
         not_repeatable: adapter.not_repeatable,
-        default_version: names.get(&adapter.default_version),
+        default_version: names.intern(&adapter.default_version),
         versions,
         groups: adapter.groups.clone().into(),
     }
@@ -441,8 +441,8 @@
     }
 }
 
-fn allowed(wanted: &[String], held: &[String]) -> bool {
-    wanted.is_empty() || wanted.iter().any(|group| held.contains(group))
+fn is_allowed(allowed: &[String], groups: &[String]) -> bool {
+    allowed.is_empty() || allowed.iter().any(|group| groups.contains(group))
 }
 
 fn unknown_name(kind: &str, name: &str) -> Refusal {
--- a/crates/larkspring-core/src/ids.rs
+++ b/crates/larkspring-core/src/ids.rs
@@ -39,7 +39,8 @@
 pub type TargetHash = u64;
 /// Hash of a run of an endpoint and one attempt there.
 pub type AttemptHash = u64;
-/// Fingerprint of a request: a hash of its content and caller, the same for all attempts.
+/// Fingerprint of a request: a hash of its content and workspace, the same for all
+/// attempts.
 pub type ContentHash = u64;
 
 /// Separates the adapter from the version in the name of a model.
--- a/crates/larkspring-core/src/limits/home.rs
+++ b/crates/larkspring-core/src/limits/home.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use super::presence::Told;
-use super::{LimitTerms, Share};
+use super::{BucketParams, LimitTerms};
 use crate::fleet::routes::RoutingVersion;
 use crate::ids::WorkspaceHash;
 use crate::workspaces::{Limit, Unit};
@@ -15,11 +15,12 @@
     terms: LimitTerms,
     buckets: HashMap<WorkspaceHash, Bucket>,
     /// Serving time reported since the buckets were last cleared.
-    told: Sum,
+    reported: ReportedTime,
     /// When the last request for units arrived.
-    heard: Option<Instant>,
-    /// The highest number of entries within [`COUNT_KEPT`], and when it was counted.
-    entries: (usize, Option<Instant>),
+    last_request: Option<Instant>,
+    /// The highest number of entries within [`ENTRY_COUNT_RETENTION`], and when it was
+    /// counted.
+    max_entries: (usize, Option<Instant>),
 }
 
 /// A request for units from an entry to a bucket owner.
@@ -77,7 +78,7 @@
 struct Bucket {
     level: f64,
     /// The reported serving time at the last update of the level.
-    seen: Sum,
+    applied: ReportedTime,
     per_sec: f64,
     burst: f64,
     version: RoutingVersion,
@@ -85,7 +86,7 @@
 
 /// Serving time that entries reported, each weighted by one over the number of entries.
 #[derive(Debug, Clone, Copy, Default)]
-struct Sum {
+struct ReportedTime {
     /// Seconds: one for each second in which all entries request units here.
     time: f64,
     /// The fraction of entries that changed to this bucket owner: 1 when all have.
@@ -94,18 +95,18 @@
 
 /// Time without any request after which a process is no bucket owner any more and clears
 /// its buckets.
-const LAPSE: Duration = Duration::from_millis(1000);
+const OWNERSHIP_TIMEOUT: Duration = Duration::from_millis(1000);
 /// How long the highest count of entries is used: longer than network partitions between
 /// VMs usually last, so that a bucket owner which only a few entries reach does not give
 /// them the shares of all.
-const COUNT_KEPT: Duration = Duration::from_secs(30);
+const ENTRY_COUNT_RETENTION: Duration = Duration::from_secs(30);
 /// Fraction of a full bucket below which no units are granted ahead of requests: units
 /// that an entry keeps in reserve are then missing at another entry.
-const SCARCE_PART: f64 = 0.3;
+const MIN_RESERVE_FRACTION: f64 = 0.3;
 /// Largest number of buckets; full buckets are evicted first.
 const MAX_BUCKETS: usize = 16 * 1024;
 /// Longest wait in a grant, in seconds.
-const MAX_WAIT: f64 = 10.0;
+const MAX_WAIT_SECS: f64 = 10.0;
 
 impl Home {
     /// Creates a bucket owner without buckets.
@@ -113,36 +114,36 @@
         Self {
             terms,
             buckets: HashMap::new(),
-            told: Sum::default(),
-            heard: None,
-            entries: (0, None),
+            reported: ReportedTime::default(),
+            last_request: None,
+            max_entries: (0, None),
         }
     }
 
     /// Answers an entry's request for units.
     pub fn ask(&mut self, now: Instant, ask: &Ask<'_>) -> Vec<Grant> {
-        self.hear(now, ask);
+        self.record_serving_time(now, ask);
         ask.wants.iter().map(|want| self.grant(want)).collect()
     }
 
-    fn hear(&mut self, now: Instant, ask: &Ask<'_>) {
+    fn record_serving_time(&mut self, now: Instant, ask: &Ask<'_>) {
         let since = |at| now.saturating_duration_since(at);
-        if self.heard.is_none_or(|at| since(at) > LAPSE) {
+        if self.last_request.is_none_or(|at| since(at) > OWNERSHIP_TIMEOUT) {
             self.buckets.clear();
-            self.told = Sum::default();
+            self.reported = ReportedTime::default();
         }
-        self.heard = Some(now);
-        let (most, at) = self.entries;
-        if ask.entries >= most || at.is_none_or(|at| since(at) > COUNT_KEPT) {
-            self.entries = (ask.entries, Some(now));
+        self.last_request = Some(now);
+        let (most, at) = self.max_entries;
+        if ask.entries >= most || at.is_none_or(|at| since(at) > ENTRY_COUNT_RETENTION) {
+            self.max_entries = (ask.entries, Some(now));
         }
-        let part = 1.0 / self.entries.0.max(1) as f64;
-        self.told.time += part * ask.told.time.as_secs_f64();
-        self.told.joined += if ask.told.joined { part } else { 0.0 };
+        let part = 1.0 / self.max_entries.0.max(1) as f64;
+        self.reported.time += part * ask.told.time.as_secs_f64();
+        self.reported.joined += if ask.told.joined { part } else { 0.0 };
     }
 
     fn grant(&mut self, want: &Want) -> Grant {
-        let (terms, told) = (self.terms, self.told);
+        let (terms, reported) = (self.terms, self.reported);
         if self.buckets.len() >= MAX_BUCKETS {
             self.buckets.retain(|_, bucket| bucket.level < bucket.per_sec);
         }
@@ -150,7 +151,7 @@
             // A workspace without requests so far gets a bucket that has filled since
             // entries changed to this bucket owner.
             level: 0.0,
-            seen: Sum { time: 0.0, joined: told.joined },
+            applied: ReportedTime { time: 0.0, joined: reported.joined },
             per_sec: want.per_sec,
             burst: want.burst,
             version: want.version,
@@ -160,13 +161,14 @@
             bucket.burst = want.burst;
             bucket.version = want.version;
         }
-        let share = bucket.share(&terms);
-        bucket.fill(told, &share);
-        let level = (bucket.level + want.returned).min(share.most);
-        let units = units(level, &share, want);
+        let params = bucket.params(&terms);
+        bucket.refill(reported, &params);
+        let level = (bucket.level + want.returned).min(params.capacity);
+        let units = granted_units(level, &params, want);
         bucket.level = level - units;
-        let lacks = (want.debt + want.need - units).max(0.0);
-        let wait = (lacks / share.per_sec.max(f64::MIN_POSITIVE)).min(MAX_WAIT);
+        let missing = (want.debt + want.need - units).max(0.0);
+        let wait =
+            (missing / params.refill_per_sec.max(f64::MIN_POSITIVE)).min(MAX_WAIT_SECS);
         Grant {
             workspace: want.workspace,
             ask: want.ask,
@@ -177,39 +179,39 @@
 }
 
 impl Bucket {
-    fn share(&self, terms: &LimitTerms) -> Share {
+    fn params(&self, terms: &LimitTerms) -> BucketParams {
         let (per_sec, burst) = (self.per_sec, self.burst);
-        terms.share(&Limit { per_sec, burst, unit: Unit::Requests })
+        terms.bucket_params(&Limit { per_sec, burst, unit: Unit::Requests })
     }
 
     /// Refills the bucket by the serving time reported since the last call. An entry that
     /// used another bucket owner meanwhile may have spent there the units that it added
     /// here before, so its part of the level is removed.
-    fn fill(&mut self, told: Sum, share: &Share) {
-        let left = (told.joined - self.seen.joined) * share.most;
+    fn refill(&mut self, reported: ReportedTime, params: &BucketParams) {
+        let removed = (reported.joined - self.applied.joined) * params.capacity;
         if self.level > 0.0 {
-            self.level = (self.level - left).max(0.0);
+            self.level = (self.level - removed).max(0.0);
         }
-        let gained = (told.time - self.seen.time) * share.per_sec;
-        self.level = (self.level + gained).min(share.most);
-        self.seen = told;
+        let gained = (reported.time - self.applied.time) * params.refill_per_sec;
+        self.level = (self.level + gained).min(params.capacity);
+        self.applied = reported;
     }
 }
 
-/// Returns the units granted at `level`, which may fall below zero by the share's debt.
+/// Returns the units granted at `level`, which may fall below zero by the maximum debt.
 ///
 /// A request is admitted while the level is above zero, whatever its size: if all of its
 /// units had to be there, long prompts would hardly ever be admitted while short prompts
 /// use up the units as they arrive.
-fn units(level: f64, share: &Share, want: &Want) -> f64 {
+fn granted_units(level: f64, params: &BucketParams, want: &Want) -> f64 {
     let all = want.debt + want.need;
     if level >= all {
-        let spare = level - all - share.most * SCARCE_PART;
+        let spare = level - all - params.capacity * MIN_RESERVE_FRACTION;
         return all + want.ahead.min(spare.max(0.0));
     }
     let first = want.debt + want.first;
-    let passes = level > 0.0 && level + share.debt >= first;
-    let large = want.first > share.most && level >= share.most;
+    let passes = level > 0.0 && level + params.max_debt >= first;
+    let large = want.first > params.capacity && level >= params.capacity;
     if want.need > 0.0 && (passes || large) {
         return first.max(level);
     }
--- a/crates/larkspring-core/src/limits/mod.rs
+++ b/crates/larkspring-core/src/limits/mod.rs
@@ -13,16 +13,16 @@
 //! burst of `b` units may use `r w + b` units and a slack. Refusing requests within
 //! `r w + b` loses service. So a bucket gets all that the window allows: its capacity is
 //! a second of the rate (or the burst, if that is less), and the remainder of the burst
-//! and a part of the slack (`USED_PART`) are added to its refill rate. The remainder of
-//! the slack covers faults:
+//! and a part of the slack (`REFILL_SLACK_FRACTION`) are added to its refill rate. The
+//! remainder of the slack covers faults:
 //!
-//! - A grant expires after [`Share::life`], so units used in a window of length `w` were
-//!   granted within `w` and that lifetime, from serving time that entries reported up to
-//!   a poll interval later.
+//! - A grant expires after [`BucketParams::reservation_lifetime`], so units used in a
+//!   window of length `w` were granted within `w` and that lifetime, from serving time
+//!   that entries reported up to a poll interval later.
 //! - A request that finds any units in its bucket may bring the bucket down to a debt of
-//!   [`Share::debt`].
-//! - All entries together use up to [`Share::alone`] before it is granted, and settle it
-//!   with the next request for units.
+//!   [`BucketParams::max_debt`].
+//! - All entries together use up to [`BucketParams::max_overdraft`] before it is granted,
+//!   and settle it with the next request for units.
 //!
 //! A change of the bucket owner, or two bucket owners at once because entries reach
 //! different processes, costs no slack: see [`presence`].
@@ -48,47 +48,50 @@
 
 /// The parameters of one limit's bucket, and the parts of the slack that cover faults.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Share {
+pub struct BucketParams {
     /// Refill rate of the bucket, in units a second.
-    pub per_sec: f64,
+    pub refill_per_sec: f64,
     /// Capacity of the bucket, in units.
-    pub most: f64,
+    pub capacity: f64,
     /// Lifetime of a reservation.
-    pub life: Duration,
+    pub reservation_lifetime: Duration,
     /// Units by which a request may bring the bucket below zero.
-    pub debt: f64,
+    pub max_debt: f64,
     /// Units that all entries together may use before the bucket owner has granted them.
-    pub alone: f64,
+    pub max_overdraft: f64,
 }
 
 /// Longest lifetime of a reservation: two poll intervals of an entry.
-const MAX_LIFE: Duration = Duration::from_millis(500);
+const MAX_RESERVATION_LIFETIME: Duration = Duration::from_millis(500);
 /// Capacity of a bucket as a time at the workspace's rate, unless the burst is smaller.
-const AT_ONCE: Duration = Duration::from_secs(1);
+const CAPACITY_TIME: Duration = Duration::from_secs(1);
 /// Parts of the slack: the part added to the refill rate, and the parts that cover
 /// outstanding reservations at the beginning of a window, the debt of a bucket, and units
 /// used before they are granted. The remaining fifth covers serving time that is reported
 /// late: a quarter of a second of the rate.
-const USED_PART: f64 = 0.45;
-const LIFE_PART: f64 = 0.1;
-const DEBT_PART: f64 = 0.1;
-const ALONE_PART: f64 = 0.15;
+const REFILL_SLACK_FRACTION: f64 = 0.45;
+const RESERVATION_SLACK_FRACTION: f64 = 0.1;
+const DEBT_SLACK_FRACTION: f64 = 0.1;
+const OVERDRAFT_SLACK_FRACTION: f64 = 0.15;
 
 impl LimitTerms {
     /// Returns the bucket parameters for a limit.
-    pub fn share(&self, limit: &Limit) -> Share {
+    pub fn bucket_params(&self, limit: &Limit) -> BucketParams {
         let window = self.window.as_secs_f64();
         let allowed = limit.per_sec * window + limit.burst;
         let slack = self.overage * allowed + self.tolerance;
-        let most = limit.burst.min(limit.per_sec * AT_ONCE.as_secs_f64());
-        let rest = limit.burst - most + USED_PART * slack;
-        let life = LIFE_PART * slack / limit.per_sec.max(f64::MIN_POSITIVE);
-        Share {
-            per_sec: limit.per_sec + rest / window.max(f64::MIN_POSITIVE),
-            most,
-            life: MAX_LIFE.mul_f64((life / MAX_LIFE.as_secs_f64()).min(1.0)),
-            debt: DEBT_PART * slack,
-            alone: ALONE_PART * slack,
+        let capacity = limit.burst.min(limit.per_sec * CAPACITY_TIME.as_secs_f64());
+        let extra = limit.burst - capacity + REFILL_SLACK_FRACTION * slack;
+        let lifetime_secs =
+            RESERVATION_SLACK_FRACTION * slack / limit.per_sec.max(f64::MIN_POSITIVE);
+        BucketParams {
+            refill_per_sec: limit.per_sec + extra / window.max(f64::MIN_POSITIVE),
+            capacity,
+            reservation_lifetime: MAX_RESERVATION_LIFETIME.mul_f64(
+                (lifetime_secs / MAX_RESERVATION_LIFETIME.as_secs_f64()).min(1.0),
+            ),
+            max_debt: DEBT_SLACK_FRACTION * slack,
+            max_overdraft: OVERDRAFT_SLACK_FRACTION * slack,
         }
     }
 }
--- a/crates/larkspring-core/src/limits/presence.rs
+++ b/crates/larkspring-core/src/limits/presence.rs
@@ -10,8 +10,8 @@
 /// that was paused while another process took over.
 #[derive(Debug, Clone)]
 pub struct Presence<H> {
-    home: Option<H>,
-    told: Option<Instant>,
+    owner: Option<H>,
+    reported_at: Option<Instant>,
 }
 
 /// The serving time reported with a request for units.
@@ -25,22 +25,22 @@
 
 /// Longest time reported at once: an entry that was paused for longer served no requests
 /// meanwhile.
-const MOST: Duration = Duration::from_millis(500);
+const MAX_REPORTED_TIME: Duration = Duration::from_millis(500);
 
 impl<H: PartialEq> Presence<H> {
     /// Creates the state of an entry that has requested no units yet.
     pub fn new() -> Self {
-        Self { home: None, told: None }
+        Self { owner: None, reported_at: None }
     }
 
-    /// Records a request to `home`, and returns the serving time to report with the
+    /// Records a request to `owner`, and returns the serving time to report with the
     /// request.
-    pub fn ask(&mut self, now: Instant, home: H) -> Told {
-        let since = self.told.replace(now);
+    pub fn ask(&mut self, now: Instant, owner: H) -> Told {
+        let since = self.reported_at.replace(now);
         let time = since.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
-        let joined = self.home.as_ref() != Some(&home);
-        self.home = Some(home);
-        Told { time: time.min(MOST), joined }
+        let joined = self.owner.as_ref() != Some(&owner);
+        self.owner = Some(owner);
+        Told { time: time.min(MAX_REPORTED_TIME), joined }
     }
 }
 
--- a/crates/larkspring-core/src/outcome.rs
+++ b/crates/larkspring-core/src/outcome.rs
@@ -96,8 +96,8 @@
 
     /// Converts the number used in messages; an unrecognised number is the last step.
     pub fn from_code(code: u32) -> Self {
-        let place = (code as usize).wrapping_sub(1);
-        STEPS.get(place).copied().unwrap_or(Self::Stream)
+        let index = (code as usize).wrapping_sub(1);
+        STEPS.get(index).copied().unwrap_or(Self::Stream)
     }
 
     /// Returns the name used in answers to callers and in logs.
--- a/crates/larkspring-core/src/quarantine.rs
+++ b/crates/larkspring-core/src/quarantine.rs
@@ -58,13 +58,13 @@
 
 #[derive(Debug)]
 struct Record {
-    ends: u32,
+    crashes: u32,
     /// Attempts with a reported crash, the latest last.
     attempts: Vec<AttemptHash>,
     /// When the last counted crash happened, or the fingerprint was cleared.
     at: Instant,
     /// When the fingerprint was last cleared; crashes before that do not count.
-    cleared: Option<Instant>,
+    cleared_at: Option<Instant>,
 }
 
 /// Number of crashes from which on a request is refused.
@@ -77,14 +77,14 @@
 pub const REFUSED_FROM: u32 = 3;
 /// Number of crashes from which on entries are notified of a fingerprint, so that they
 /// report complete answers to it.
-pub const TOLD_FROM: u32 = 2;
+pub const NOTIFIED_FROM_CRASHES: u32 = 2;
 /// How long a refused fingerprint is kept after its last crash. The request is refused
 /// for as long, since each try would cost another endpoint; an operator may lift the
 /// quarantine earlier.
-const REMEMBERED: Duration = Duration::from_secs(24 * 3600);
+const REFUSED_RETENTION: Duration = Duration::from_secs(24 * 3600);
 /// How long a suspected or cleared fingerprint is kept: many times the longest time that
 /// one request and its retries take.
-const SUSPECTED_FOR: Duration = Duration::from_secs(3600);
+const SUSPECTED_RETENTION: Duration = Duration::from_secs(3600);
 /// Largest number of fingerprints, about 1 MB. Those with the fewest and oldest crashes
 /// are evicted first, so a caller with ever new fatal requests evicts suspected ones
 /// before refused ones.
@@ -107,7 +107,7 @@
         end: End,
     ) -> Option<Finding> {
         let End { attempt, began, at } = end;
-        self.make_room(now, content);
+        self.evict_for(now, content);
         let record = self.records.entry(content).or_insert_with(|| Record::new(at));
         if record.is_before_clearing(at) || record.attempts.contains(&attempt) {
             return None;
@@ -116,12 +116,12 @@
             record.attempts.remove(0);
         }
         record.attempts.push(attempt);
-        if record.ends > 0 && began <= record.at {
+        if record.crashes > 0 && began <= record.at {
             return None;
         }
-        record.ends += 1;
+        record.crashes += 1;
         record.at = record.at.max(at);
-        (record.ends >= TOLD_FROM).then(|| record.finding(now, content))
+        (record.crashes >= NOTIFIED_FROM_CRASHES).then(|| record.report(now, content))
     }
 
     /// Applies a crash report of another process, and returns whether it changed
@@ -131,13 +131,13 @@
         if found.ends == 0 {
             return self.clear_at(at, found.content);
         }
-        self.make_room(now, found.content);
-        let fresh = || Record::new(at);
-        let record = self.records.entry(found.content).or_insert_with(fresh);
-        if record.is_before_clearing(at) || record.ends >= found.ends {
+        self.evict_for(now, found.content);
+        let new_record = || Record::new(at);
+        let record = self.records.entry(found.content).or_insert_with(new_record);
+        if record.is_before_clearing(at) || record.crashes >= found.ends {
             return false;
         }
-        record.ends = found.ends;
+        record.crashes = found.ends;
         record.at = record.at.max(at);
         true
     }
@@ -152,34 +152,33 @@
     /// Returns the quarantine status of a fingerprint.
     pub fn standing(&self, now: Instant, content: ContentHash) -> Standing {
         match self.records.get(&content) {
-            Some(record) if record.is_over(now) => Standing::Free,
-            Some(record) => record.standing(),
+            Some(record) if record.is_expired(now) => Standing::Free,
+            Some(record) => record.status(),
             None => Standing::Free,
         }
     }
 
     /// Returns the crash reports for another process, the latest first.
     pub fn findings(&self, now: Instant) -> Vec<Finding> {
-        let told = self
-            .records
-            .iter()
-            .filter(|(_, r)| !r.is_over(now) && (r.ends == 0 || r.ends >= TOLD_FROM));
-        let mut findings: Vec<_> = told.map(|(c, r)| r.finding(now, *c)).collect();
+        let reported = self.records.iter().filter(|(_, r)| {
+            !r.is_expired(now) && (r.crashes == 0 || r.crashes >= NOTIFIED_FROM_CRASHES)
+        });
+        let mut findings: Vec<_> = reported.map(|(c, r)| r.report(now, *c)).collect();
         findings.sort_by_key(|f| (f.age, f.content));
         findings
     }
 
     /// Returns the refused fingerprints.
     pub fn refused(&self, now: Instant) -> Vec<ContentHash> {
-        let is_refused = |r: &Record| !r.is_over(now) && r.ends >= REFUSED_FROM;
+        let is_refused = |r: &Record| !r.is_expired(now) && r.crashes >= REFUSED_FROM;
         let refused = self.records.iter().filter(|(_, r)| is_refused(r));
         refused.map(|(content, _)| *content).collect()
     }
 
     /// Returns the number of suspected and of refused fingerprints.
     pub fn counts(&self, now: Instant) -> (usize, usize) {
-        let live = self.records.values().filter(|r| !r.is_over(now));
-        live.fold((0, 0), |(suspected, refused), r| match r.standing() {
+        let current = self.records.values().filter(|r| !r.is_expired(now));
+        current.fold((0, 0), |(suspected, refused), r| match r.status() {
             Standing::Free => (suspected, refused),
             Standing::Suspected => (suspected + 1, refused),
             Standing::Refused => (suspected, refused + 1),
@@ -198,53 +197,53 @@
 
     fn clear_at(&mut self, at: Instant, content: ContentHash) -> bool {
         let Some(record) = self.records.get_mut(&content) else { return false };
-        if record.ends == 0 || at < record.at {
+        if record.crashes == 0 || at < record.at {
             return false;
         }
-        *record = Record { cleared: Some(at), ..Record::new(at) };
+        *record = Record { cleared_at: Some(at), ..Record::new(at) };
         true
     }
 
-    fn make_room(&mut self, now: Instant, content: ContentHash) {
+    fn evict_for(&mut self, now: Instant, content: ContentHash) {
         if self.records.len() < MAX_RECORDS || self.records.contains_key(&content) {
             return;
         }
-        self.records.retain(|_, record| !record.is_over(now));
+        self.records.retain(|_, record| !record.is_expired(now));
         while self.records.len() >= MAX_RECORDS {
-            let least = self.records.iter().min_by_key(|(c, r)| (r.ends, r.at, **c));
-            let Some(least) = least.map(|(content, _)| *content) else { return };
-            self.records.remove(&least);
+            let evicted = self.records.iter().min_by_key(|(c, r)| (r.crashes, r.at, **c));
+            let Some(evicted) = evicted.map(|(content, _)| *content) else { return };
+            self.records.remove(&evicted);
         }
     }
 }
 
 impl Record {
     fn new(at: Instant) -> Self {
-        Self { ends: 0, attempts: Vec::new(), at, cleared: None }
+        Self { crashes: 0, attempts: Vec::new(), at, cleared_at: None }
     }
 
     fn is_before_clearing(&self, at: Instant) -> bool {
-        self.cleared.is_some_and(|cleared| at <= cleared)
+        self.cleared_at.is_some_and(|cleared| at <= cleared)
     }
 
-    fn is_over(&self, now: Instant) -> bool {
-        let kept = match self.standing() {
-            Standing::Refused => REMEMBERED,
-            _ => SUSPECTED_FOR,
+    fn is_expired(&self, now: Instant) -> bool {
+        let retention = match self.status() {
+            Standing::Refused => REFUSED_RETENTION,
+            _ => SUSPECTED_RETENTION,
         };
-        now.saturating_duration_since(self.at) >= kept
+        now.saturating_duration_since(self.at) >= retention
     }
 
-    fn standing(&self) -> Standing {
-        match self.ends {
-            ends if ends < TOLD_FROM => Standing::Free,
-            ends if ends < REFUSED_FROM => Standing::Suspected,
+    fn status(&self) -> Standing {
+        match self.crashes {
+            crashes if crashes < NOTIFIED_FROM_CRASHES => Standing::Free,
+            crashes if crashes < REFUSED_FROM => Standing::Suspected,
             _ => Standing::Refused,
         }
     }
 
-    fn finding(&self, now: Instant, content: ContentHash) -> Finding {
+    fn report(&self, now: Instant, content: ContentHash) -> Finding {
         let age = now.saturating_duration_since(self.at);
-        Finding { content, ends: self.ends, age }
+        Finding { content, ends: self.crashes, age }
     }
 }
--- a/crates/larkspring-core/src/tenure.rs
+++ b/crates/larkspring-core/src/tenure.rs
@@ -56,10 +56,10 @@
 /// key without a birth.
 pub fn standing(t: &Tenure, terms: &Terms, now: Millis, birth: Millis) -> Standing {
     if birth == 0 {
-        return standing_without_birth(t, terms, now);
+        return record_status_without_birth(t, terms, now);
     }
-    let forgotten = birth + millis(terms.retention) <= now + millis(terms.skew);
-    if birth < t.from_ms || forgotten {
+    let retention_over = birth + millis(terms.retention) <= now + millis(terms.skew);
+    if birth < t.from_ms || retention_over {
         return Standing::Lost;
     }
     // A successor that proves the holder's end starts at births past this bound.
@@ -70,7 +70,7 @@
     }
 }
 
-fn standing_without_birth(t: &Tenure, terms: &Terms, now: Millis) -> Standing {
+fn record_status_without_birth(t: &Tenure, terms: &Terms, now: Millis) -> Standing {
     if now >= t.until_ms {
         return Standing::Foreign;
     }
@@ -94,10 +94,10 @@
 ) -> Option<Tenure> {
     let skew = millis(terms.skew);
     let never_held = old.holder.is_empty();
-    let lapsed = now >= old.until_ms + skew;
+    let expired = now >= old.until_ms + skew;
     let (from_ms, since_ms) = match holder {
         _ if never_held => (0, 0),
-        _ if lapsed => (old.until_ms, now),
+        _ if expired => (old.until_ms, now),
         // The old holder granted births up to the skew past its clock, and its clock may
         // be ahead by the skew as well.
         Holder::Ended => (now + 2 * skew, now),
@@ -116,14 +116,14 @@
 /// Returns the tenure with an extended range, if a renewal is due.
 pub fn renewal(t: &Tenure, terms: &Terms, now: Millis) -> Option<Tenure> {
     let lease = millis(terms.lease);
-    let due = t.until_ms < now + lease - lease / RENEWALS;
+    let due = t.until_ms < now + lease - lease / RENEWALS_PER_LEASE;
     // An expired tenure may be taken over by any entry, including its holder.
     let held = now < t.until_ms;
     (due && held).then(|| Tenure { until_ms: now + lease, ..t.clone() })
 }
 
 /// Renewals in a lease: a range is extended when one eighth of the lease has passed.
-const RENEWALS: u64 = 8;
+const RENEWALS_PER_LEASE: u64 = 8;
 
 /// Whether two tenures belong to the same run.
 pub fn same_run(a: &Tenure, b: &Tenure) -> bool {
--- a/crates/larkspring-core/src/workspaces.rs
+++ b/crates/larkspring-core/src/workspaces.rs
@@ -125,7 +125,7 @@
         let mut by_key: HashMap<_, Arc<Workspace>> = HashMap::new();
         for (workspace, keys) in declared {
             let name = workspace.name.to_string();
-            check_figures(&workspace)?;
+            validate_limit(&workspace)?;
             if !names.insert(name.clone()) {
                 return Err(WorkspaceError::SameName(name));
             }
@@ -165,7 +165,7 @@
     }
 }
 
-fn check_figures(workspace: &Workspace) -> Result<(), WorkspaceError> {
+fn validate_limit(workspace: &Workspace) -> Result<(), WorkspaceError> {
     let Some(limit) = workspace.limit else { return Ok(()) };
     let unsized_request = match limit.unit {
         Unit::Requests => 0.0,
