--- a/crates/larkspring-core/src/declared.rs
+++ b/crates/larkspring-core/src/declared.rs
@@ -367,7 +367,8 @@
     }
 }
 
-/// Returns the index of the chunk or group, out of `count`, that the name `name` belongs to.
+/// Returns the index of the chunk or group, out of `count`, that the name `name` belongs
+/// to.
 pub fn place(name: &str, count: usize) -> usize {
     (xxh3_64(name.as_bytes()) % count.max(1) as u64) as usize
 }
--- a/crates/larkspring-core/tests/limited/mod.rs
+++ b/crates/larkspring-core/tests/limited/mod.rs
@@ -1,7 +1,8 @@
-//! Entries and homes of limits in steps of a millisecond, without a network.
+//! Simulation of entries and bucket owners in steps of a millisecond, without a network.
 //!
-//! Messages between an entry and a home take a set time and are lost while a fault says so.
-//! Arrivals are drawn from a seeded table: workspaces by size, each caller kept to one entry.
+//! Messages between an entry and a bucket owner take a fixed time, and are lost during
+//! some faults. Arrivals are random with a seed: workspaces have different sizes, and
+//! each caller uses a single entry.
 
 #![allow(dead_code)]
 
@@ -15,197 +16,203 @@
 use larkspring_core::limits::LimitTerms;
 use larkspring_core::workspaces::{Limit, Unit, Workspace};
 
-/// How requests are let in.
+/// How the limits are divided between entries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum Allocation {
     /// Each entry has an even share of each limit.
     Even,
-    /// Entries reserve at a home.
+    /// Entries reserve units at a bucket owner.
     Home,
 }
 
-/// What happens to processes, for a time.
+/// A temporary fault of processes.
 #[derive(Debug, Clone, Copy)]
 pub enum Fault {
-    /// A home is gone and comes back with nothing known.
+    /// A bucket owner is lost and restarts without state.
     HomeLost(usize),
-    /// A home stands still and goes on with what it knew.
+    /// A bucket owner is paused and resumes with its state.
     HomeFrozen(usize),
-    /// An entry does not reach a home, which others reach.
+    /// An entry does not reach a bucket owner that others reach.
     Cut { entry: usize, home: usize },
-    /// All entries and homes are gone.
+    /// All entries and bucket owners are lost and restart without state.
     AllLost,
 }
 
-/// A load and what happens meanwhile.
+/// A load and the faults during it.
 #[derive(Debug, Clone)]
-pub struct Shape {
+pub struct Scenario {
     pub entries: usize,
-    pub homes: usize,
+    pub owner_count: usize,
     pub seed: u64,
     pub secs: u64,
-    /// Units a second that each workspace usually asks for, and how many times that it does.
+    /// Usual demand of each workspace in units a second, and the factor to its present
+    /// demand.
     pub workspaces: Vec<(f64, f64)>,
-    /// Units of requests, and the part of all that each is.
+    /// Request sizes in units, and the fraction of requests that have each size.
     pub costs: &'static [(f64, f64)],
-    /// Callers of each workspace.
+    /// Number of callers of each workspace.
     pub callers: usize,
-    /// When each fault begins and ends, in milliseconds.
+    /// Begin and end of each fault, in milliseconds.
     pub faults: Vec<(u64, u64, Fault)>,
-    pub way: Way,
+    pub allocation: Allocation,
 }
 
-/// What was seen.
+/// Results of a simulation; all but the counts are in units.
 #[derive(Debug, Clone, Default)]
-pub struct Seen {
+pub struct Results {
     pub asked: f64,
     pub admitted: f64,
-    /// What a single bucket for all entries would let in more of a workspace, in all.
+    /// Units that a single bucket for all entries would have admitted in addition, summed
+    /// over the workspaces with such a loss.
     pub falsely_refused: f64,
-    /// What such a bucket would let in.
+    /// Units that a single bucket for all entries would have admitted.
     pub owed: f64,
-    /// Largest use of a window against what the rule allows.
+    /// Largest usage of a window, as a fraction of the allowed usage.
     pub worst_window: f64,
-    /// Requests admitted and asked, large ones and others.
+    /// Number of admitted and of all requests, for large requests and for the others.
     pub large: (usize, usize),
     pub small: (usize, usize),
-    /// Messages that entries sent to homes.
+    /// Number of messages that entries sent to bucket owners.
     pub messages: usize,
 }
 
 pub const TERMS: LimitTerms =
     LimitTerms { window: Duration::from_secs(8), overage: 0.1, tolerance: 110_000.0 };
-/// Limits are this many times what a workspace usually asks for.
-const LIMIT_OF_USUAL: f64 = 1.8;
-/// Units from which a request counts as large.
+/// Limit of a workspace as a multiple of its usual demand.
+const LIMIT_FACTOR: f64 = 1.8;
+/// Size from which a request counts as large, in units.
 const LARGE: f64 = 9000.0;
-/// Time for a message one way.
-const WAY_MS: u64 = 2;
-/// Beat of an entry, and how long a home that does not answer is passed over.
-const BEAT_MS: u64 = 250;
-const PASSED_OVER_MS: u64 = 1000;
+/// One-way latency of a message.
+const LATENCY_MS: u64 = 2;
+/// Poll interval of an entry, and how long a bucket owner that did not answer is not
+/// used.
+const POLL_INTERVAL_MS: u64 = 250;
+const OWNER_RETRY_MS: u64 = 1000;
 
 enum Message {
-    Asked { entry: usize, home: usize, told: Told, wants: Vec<Want> },
-    Granted { entry: usize, home: usize, grants: Vec<Grant> },
+    Request { entry: usize, home: usize, told: Told, wants: Vec<Want> },
+    Response { entry: usize, home: usize, grants: Vec<Grant> },
 }
 
 struct Entry {
-    accounts: Accounts<usize>,
-    /// Its even share, for when it hears no home.
-    own: Home,
-    beat_at: u64,
-    /// The home that it asks, and when it last passed one over.
-    presence: Presence<Option<usize>>,
-    changed_at: u64,
-    passed_over: Vec<(usize, u64)>,
+    reservations: Accounts<usize>,
+    /// Grants an even share while the entry reaches no bucket owner.
+    even_share: Home,
+    next_poll: u64,
+    /// Tracks the serving time reported to the present bucket owner.
+    serving_time: Presence<Option<usize>>,
+    /// When a bucket owner last failed to answer.
+    owner_failed_at: u64,
+    skipped_owners: Vec<(usize, u64)>,
 }
 
-impl Shape {
-    /// The sheet's load: 26 entries, 16 workspaces by size, summaries, plain calls and file
-    /// reviews, some of them long.
-    pub fn sheet(seed: u64) -> Self {
+impl Scenario {
+    /// The load of the screening agency's sheet: 26 entries and 16 workspaces of
+    /// different sizes that send summaries, plain calls and file reviews, some of them
+    /// long.
+    pub fn agency_sheet(seed: u64) -> Self {
         let usual = (0..16).map(|n| (160_000.0 / (n as f64 + 1.0), 1.0));
         Self {
             entries: 26,
-            homes: 5,
+            owner_count: 5,
             seed,
             secs: 20,
             workspaces: usual.collect(),
             costs: &[(718.0, 0.62), (200.0, 0.35), (9244.0, 0.015), (20_000.0, 0.015)],
             callers: 14,
             faults: Vec::new(),
-            way: Way::Home,
+            allocation: Allocation::Home,
         }
     }
 
-    fn accounts(&self) -> Accounts<usize> {
-        let mut accounts = Accounts::new(TERMS);
-        accounts.set_entries(self.entries as u32);
-        accounts
+    fn reservations(&self) -> Accounts<usize> {
+        let mut reservations = Accounts::new(TERMS);
+        reservations.set_entries(self.entries as u32);
+        reservations
     }
 
-    /// Plays the load.
-    pub fn play(&self) -> Seen {
-        Play::new(self).run()
+    /// Simulates the load.
+    pub fn simulate(&self) -> Results {
+        Simulation::new(self).run()
     }
 }
 
-struct Play<'a> {
-    shape: &'a Shape,
+struct Simulation<'a> {
+    scenario: &'a Scenario,
     start: Instant,
     rng: Rng,
     entries: Vec<Entry>,
-    homes: Vec<Home>,
+    bucket_owners: Vec<Home>,
     frozen: Vec<VecDeque<(u64, Message)>>,
     sent: VecDeque<(u64, Message)>,
-    /// Requests by number: their workspace and units.
+    /// Workspace and size of each request, by request number.
     requests: Vec<(usize, f64)>,
     verdicts: BTreeMap<usize, bool>,
     used: Vec<Vec<(u64, f64)>>,
-    /// What one bucket for all would do, by workspace: its level, and whether each request
-    /// is let in.
-    exact: Vec<f64>,
+    /// Level of the reference bucket of each workspace, a single bucket for all entries.
+    reference_levels: Vec<f64>,
+    /// Whether the reference bucket admits each request.
     owed: Vec<bool>,
-    seen: Seen,
+    results: Results,
 }
 
-impl<'a> Play<'a> {
-    fn new(shape: &'a Shape) -> Self {
+impl<'a> Simulation<'a> {
+    fn new(scenario: &'a Scenario) -> Self {
         let entry = || Entry {
-            accounts: shape.accounts(),
-            own: Home::new(TERMS),
-            beat_at: 0,
-            presence: Presence::new(),
-            changed_at: 0,
-            passed_over: Vec::new(),
+            reservations: scenario.reservations(),
+            even_share: Home::new(TERMS),
+            next_poll: 0,
+            serving_time: Presence::new(),
+            owner_failed_at: 0,
+            skipped_owners: Vec::new(),
         };
-        let count = shape.workspaces.len();
-        let limits = shape.workspaces.iter().map(|(usual, _)| usual * LIMIT_OF_USUAL);
+        let count = scenario.workspaces.len();
+        let limits = scenario.workspaces.iter().map(|(usual, _)| usual * LIMIT_FACTOR);
         Self {
-            shape,
+            scenario,
             start: Instant::now(),
-            rng: Rng::with_seed(shape.seed),
-            entries: (0..shape.entries).map(|_| entry()).collect(),
-            homes: (0..shape.homes).map(|_| Home::new(TERMS)).collect(),
-            frozen: (0..shape.homes).map(|_| VecDeque::new()).collect(),
+            rng: Rng::with_seed(scenario.seed),
+            entries: (0..scenario.entries).map(|_| entry()).collect(),
+            bucket_owners: (0..scenario.owner_count).map(|_| Home::new(TERMS)).collect(),
+            frozen: (0..scenario.owner_count).map(|_| VecDeque::new()).collect(),
             sent: VecDeque::new(),
             requests: Vec::new(),
             verdicts: BTreeMap::new(),
             used: vec![Vec::new(); count],
-            exact: limits.collect(),
+            reference_levels: limits.collect(),
             owed: Vec::new(),
-            seen: Seen::default(),
+            results: Results::default(),
         }
     }
 
-    fn run(mut self) -> Seen {
-        // Processes are there for two seconds before requests come.
-        let lead = 2000;
-        for ms in 0..lead + self.shape.secs * 1000 {
-            self.end_faults(ms);
+    fn run(mut self) -> Results {
+        // Processes run for two seconds before the first request.
+        let warm_up = 2000;
+        for ms in 0..warm_up + self.scenario.secs * 1000 {
+            self.begin_faults(ms);
             self.deliver(ms);
-            if ms >= lead {
-                self.arrive(ms);
+            if ms >= warm_up {
+                self.generate_arrivals(ms);
             }
             for entry in 0..self.entries.len() {
                 self.step(ms, entry);
             }
         }
-        self.account()
+        self.results()
     }
 
     fn at(&self, ms: u64) -> Instant {
         self.start + Duration::from_millis(ms)
     }
 
-    fn is_on(&self, ms: u64, is: impl Fn(Fault) -> bool) -> bool {
-        let on = |(from, until, _): &&(u64, u64, Fault)| (*from..*until).contains(&ms);
-        self.shape.faults.iter().filter(on).any(|(_, _, fault)| is(*fault))
+    fn has_fault(&self, ms: u64, is: impl Fn(Fault) -> bool) -> bool {
+        let active =
+            |(from, until, _): &&(u64, u64, Fault)| (*from..*until).contains(&ms);
+        self.scenario.faults.iter().filter(active).any(|(_, _, fault)| is(*fault))
     }
 
     fn reaches(&self, ms: u64, entry: usize, home: usize) -> bool {
-        !self.is_on(ms, |fault| match fault {
+        !self.has_fault(ms, |fault| match fault {
             Fault::HomeLost(lost) => lost == home,
             Fault::Cut { entry: cut, home: from } => cut == entry && from == home,
             Fault::AllLost => true,
@@ -214,21 +221,23 @@
     }
 
     fn is_frozen(&self, ms: u64, home: usize) -> bool {
-        self.is_on(ms, |fault| matches!(fault, Fault::HomeFrozen(h) if h == home))
+        self.has_fault(ms, |fault| matches!(fault, Fault::HomeFrozen(h) if h == home))
     }
 
-    fn end_faults(&mut self, ms: u64) {
-        for (from, _, fault) in self.shape.faults.clone() {
+    fn begin_faults(&mut self, ms: u64) {
+        for (from, _, fault) in self.scenario.faults.clone() {
             if from != ms {
                 continue;
             }
             match fault {
-                Fault::HomeLost(home) => self.homes[home] = Home::new(TERMS),
+                Fault::HomeLost(home) => self.bucket_owners[home] = Home::new(TERMS),
                 Fault::AllLost => {
-                    self.homes.iter_mut().for_each(|home| *home = Home::new(TERMS));
+                    self.bucket_owners
+                        .iter_mut()
+                        .for_each(|home| *home = Home::new(TERMS));
                     for entry in &mut self.entries {
-                        entry.accounts = self.shape.accounts();
-                        entry.own = Home::new(TERMS);
+                        entry.reservations = self.scenario.reservations();
+                        entry.even_share = Home::new(TERMS);
                     }
                 }
                 Fault::HomeFrozen(_) | Fault::Cut { .. } => {}
@@ -236,68 +245,69 @@
         }
     }
 
-    /// The home that an entry asks: the first that it hears. One that is silent for 900 ms
-    /// is not heard any more.
-    fn home(&self, ms: u64, entry: usize) -> Option<usize> {
-        if self.shape.way == Way::Even {
+    /// Returns the bucket owner of an entry: the first that is reachable and was
+    /// responsive within the last 900 ms.
+    fn bucket_owner(&self, ms: u64, entry: usize) -> Option<usize> {
+        if self.scenario.allocation == Allocation::Even {
             return None;
         }
-        let passed_over = &self.entries[entry].passed_over;
-        let silent = |home| {
+        let skipped_owners = &self.entries[entry].skipped_owners;
+        let is_unresponsive = |home| {
             let mut since = (ms.saturating_sub(900)..=ms).step_by(20);
             since.all(|at| !self.reaches(at, entry, home) || self.is_frozen(at, home))
         };
-        let heard = |home: &usize| {
-            let out = passed_over.iter().any(|(out, until)| out == home && *until > ms);
-            !out && self.reaches(ms, entry, *home) && !silent(*home)
+        let is_usable = |home: &usize| {
+            let skipped =
+                skipped_owners.iter().any(|(owner, until)| owner == home && *until > ms);
+            !skipped && self.reaches(ms, entry, *home) && !is_unresponsive(*home)
         };
-        (0..self.homes.len()).find(heard)
+        (0..self.bucket_owners.len()).find(is_usable)
     }
 
     fn step(&mut self, ms: u64, entry: usize) {
         let now = self.at(ms);
         let mut decided = Vec::new();
-        let asked = self.entries[entry].accounts.unanswered(now, &mut decided);
-        let changed = self.at(self.entries[entry].changed_at);
+        let asked = self.entries[entry].reservations.unanswered(now, &mut decided);
+        let changed = self.at(self.entries[entry].owner_failed_at);
         if asked.is_some_and(|asked| asked > changed) {
-            if let Some(home) = self.home(ms, entry) {
-                let until = ms + PASSED_OVER_MS;
-                self.entries[entry].passed_over.push((home, until));
+            if let Some(home) = self.bucket_owner(ms, entry) {
+                let until = ms + OWNER_RETRY_MS;
+                self.entries[entry].skipped_owners.push((home, until));
             }
-            self.entries[entry].changed_at = ms;
+            self.entries[entry].owner_failed_at = ms;
         }
         self.decide(ms, decided);
-        let beats = ms >= self.entries[entry].beat_at;
-        let wants = self.entries[entry].accounts.wants(now, beats);
-        if wants.is_empty() && !beats {
+        let is_poll = ms >= self.entries[entry].next_poll;
+        let wants = self.entries[entry].reservations.wants(now, is_poll);
+        if wants.is_empty() && !is_poll {
             return;
         }
-        if beats {
-            self.entries[entry].beat_at = ms + BEAT_MS;
+        if is_poll {
+            self.entries[entry].next_poll = ms + POLL_INTERVAL_MS;
         }
-        let home = self.home(ms, entry);
-        let told = self.entries[entry].presence.ask(now, home);
+        let home = self.bucket_owner(ms, entry);
+        let told = self.entries[entry].serving_time.ask(now, home);
         if told.joined {
-            self.entries[entry].accounts.home_changed();
+            self.entries[entry].reservations.home_changed();
         }
         let Some(home) = home else {
-            let all = self.shape.entries;
+            let all = self.scenario.entries;
             let entry = &mut self.entries[entry];
             let ask = Ask { told, entries: all, wants: &wants };
-            let grants = entry.own.ask(now, &ask);
-            let decided = entry.accounts.granted(now, &grants);
+            let grants = entry.even_share.ask(now, &ask);
+            let decided = entry.reservations.granted(now, &grants);
             return self.decide(ms, decided);
         };
-        self.seen.messages += 1;
-        let message = Message::Asked { entry, home, told, wants };
-        self.sent.push_back((ms + WAY_MS, message));
+        self.results.messages += 1;
+        let message = Message::Request { entry, home, told, wants };
+        self.sent.push_back((ms + LATENCY_MS, message));
     }
 
     fn deliver(&mut self, ms: u64) {
-        for home in 0..self.homes.len() {
+        for home in 0..self.bucket_owners.len() {
             if !self.is_frozen(ms, home) {
-                let held = std::mem::take(&mut self.frozen[home]);
-                self.sent.extend(held);
+                let delayed = std::mem::take(&mut self.frozen[home]);
+                self.sent.extend(delayed);
             }
         }
         let mut later = VecDeque::new();
@@ -307,22 +317,23 @@
                 continue;
             }
             match message {
-                Message::Asked { entry, home, told, wants } => {
+                Message::Request { entry, home, told, wants } => {
                     if self.is_frozen(ms, home) {
-                        let held = Message::Asked { entry, home, told, wants };
-                        self.frozen[home].push_back((ms, held));
+                        let delayed = Message::Request { entry, home, told, wants };
+                        self.frozen[home].push_back((ms, delayed));
                     } else if self.reaches(ms, entry, home) {
-                        let (now, all) = (self.at(ms), self.shape.entries);
+                        let (now, all) = (self.at(ms), self.scenario.entries);
                         let ask = Ask { told, entries: all, wants: &wants };
-                        let grants = self.homes[home].ask(now, &ask);
-                        let message = Message::Granted { entry, home, grants };
-                        later.push_back((ms + WAY_MS, message));
+                        let grants = self.bucket_owners[home].ask(now, &ask);
+                        let message = Message::Response { entry, home, grants };
+                        later.push_back((ms + LATENCY_MS, message));
                     }
                 }
-                Message::Granted { entry, home, grants } => {
+                Message::Response { entry, home, grants } => {
                     if self.reaches(ms, entry, home) {
                         let now = self.at(ms);
-                        let decided = self.entries[entry].accounts.granted(now, &grants);
+                        let decided =
+                            self.entries[entry].reservations.granted(now, &grants);
                         self.decide(ms, decided);
                     }
                 }
@@ -331,61 +342,63 @@
         self.sent = later;
     }
 
-    fn arrive(&mut self, ms: u64) {
-        for of in 0..self.shape.workspaces.len() {
-            let (usual, times) = self.shape.workspaces[of];
+    fn generate_arrivals(&mut self, ms: u64) {
+        for index in 0..self.scenario.workspaces.len() {
+            let (usual, times) = self.scenario.workspaces[index];
             let limit = Limit {
-                per_sec: usual * LIMIT_OF_USUAL,
-                burst: usual * LIMIT_OF_USUAL,
+                per_sec: usual * LIMIT_FACTOR,
+                burst: usual * LIMIT_FACTOR,
                 unit: Unit::Requests,
             };
             let most = limit.burst;
-            self.exact[of] = (self.exact[of] + limit.per_sec / 1000.0).min(most);
-            let mean: f64 = self.shape.costs.iter().map(|(cost, part)| cost * part).sum();
+            self.reference_levels[index] =
+                (self.reference_levels[index] + limit.per_sec / 1000.0).min(most);
+            let mean: f64 =
+                self.scenario.costs.iter().map(|(cost, part)| cost * part).sum();
             let per_ms = usual * times / mean / 1000.0;
             let mut left = per_ms;
             while left > 0.0 {
                 if self.rng.f64() < left.min(1.0) {
-                    self.request(ms, of, limit);
+                    self.request(ms, index, limit);
                 }
                 left -= 1.0;
             }
         }
     }
 
-    fn request(&mut self, ms: u64, of: usize, limit: Limit) {
-        let caller = self.rng.usize(..self.shape.callers);
-        let entry = (of * 7919 + caller * 104_729) % self.shape.entries;
+    fn request(&mut self, ms: u64, index: usize, limit: Limit) {
+        let caller = self.rng.usize(..self.scenario.callers);
+        let entry = (index * 7919 + caller * 104_729) % self.scenario.entries;
         let cost = self.cost();
         let number = self.requests.len();
-        self.requests.push((of, cost));
-        let owed = self.exact[of] >= cost;
+        self.requests.push((index, cost));
+        let owed = self.reference_levels[index] >= cost;
         if owed {
-            self.exact[of] -= cost;
+            self.reference_levels[index] -= cost;
         }
         self.owed.push(owed);
-        self.seen.asked += cost;
+        self.results.asked += cost;
         let now = self.at(ms);
         let workspace = Workspace {
-            name: format!("workspace-{of}").into(),
+            name: format!("workspace-{index}").into(),
             priority: None,
             limit: Some(limit),
         };
-        let accounts = &mut self.entries[entry].accounts;
-        if let Some(verdict) = accounts.enter(now, &workspace, 1, cost, number) {
+        let reservations = &mut self.entries[entry].reservations;
+        if let Some(verdict) = reservations.enter(now, &workspace, 1, cost, number) {
             self.decide(ms, vec![(number, verdict)]);
         }
     }
 
     fn cost(&mut self) -> f64 {
         let mut pick = self.rng.f64();
-        for (cost, part) in self.shape.costs {
+        for (cost, part) in self.scenario.costs {
             if pick < *part {
                 return *cost;
             }
             pick -= part;
         }
-        self.shape.costs[0].0
+        self.scenario.costs[0].0
     }
 
     fn decide(&mut self, ms: u64, decided: Vec<(usize, Verdict)>) {
@@ -394,30 +407,32 @@
             let before = self.verdicts.insert(number, admitted);
             assert_eq!(before, None, "request {number} was decided twice");
             if admitted {
-                let (of, cost) = self.requests[number];
-                self.used[of].push((ms, cost));
+                let (index, cost) = self.requests[number];
+                self.used[index].push((ms, cost));
             }
         }
     }
 
-    fn account(mut self) -> Seen {
-        let mut lacking = vec![0.0; self.shape.workspaces.len()];
+    fn results(mut self) -> Results {
+        let mut shortfalls = vec![0.0; self.scenario.workspaces.len()];
         for (number, owed) in self.owed.iter().enumerate() {
             let admitted = self.verdicts.get(&number).copied().unwrap_or(false);
-            let (of, cost) = self.requests[number];
-            let lacks =
+            let (index, cost) = self.requests[number];
+            let shortfall =
                 (if *owed { cost } else { 0.0 }) - if admitted { cost } else { 0.0 };
-            lacking[of] += lacks;
-            self.seen.owed += if *owed { cost } else { 0.0 };
-            self.seen.admitted += if admitted { cost } else { 0.0 };
+            shortfalls[index] += shortfall;
+            self.results.owed += if *owed { cost } else { 0.0 };
+            self.results.admitted += if admitted { cost } else { 0.0 };
             let large = cost >= LARGE;
-            let counts = if large { &mut self.seen.large } else { &mut self.seen.small };
+            let counts =
+                if large { &mut self.results.large } else { &mut self.results.small };
             counts.0 += usize::from(admitted);
             counts.1 += 1;
         }
-        self.seen.falsely_refused = lacking.iter().filter(|lacks| **lacks > 0.0).sum();
-        for (of, used) in self.used.iter().enumerate() {
-            let limit = self.shape.workspaces[of].0 * LIMIT_OF_USUAL;
+        self.results.falsely_refused =
+            shortfalls.iter().filter(|shortfall| **shortfall > 0.0).sum();
+        for (index, used) in self.used.iter().enumerate() {
+            let limit = self.scenario.workspaces[index].0 * LIMIT_FACTOR;
             let secs = TERMS.window.as_secs_f64();
             let allowed = limit * (secs + 1.0) * (1.0 + TERMS.overage) + TERMS.tolerance;
             let window = TERMS.window.as_millis() as u64;
@@ -428,9 +443,9 @@
                     sum -= used[first].1;
                     first += 1;
                 }
-                self.seen.worst_window = self.seen.worst_window.max(sum / allowed);
+                self.results.worst_window = self.results.worst_window.max(sum / allowed);
             }
         }
-        self.seen
+        self.results
     }
 }
--- a/crates/larkspring-core/tests/limits.rs
+++ b/crates/larkspring-core/tests/limits.rs
@@ -1,9 +1,11 @@
-//! Limits over all entries under load: what is refused falsely, and what a window lets in.
+//! Workspace limits over all entries under load: wrongly refused units, and usage in
+//! windows.
 //!
-//! The pattern: 16 workspaces by size whose callers reach few of 26 entries, as the screening
-//! agency's sheet tells them (limits 1.8 times the usual, a second of burst, 718 tokens a
-//! request), one or two of them at many times their usual. The bound is the users': a tenth
-//! on top of the limit and 110,000 tokens in every 8 s.
+//! The load follows the screening agency's sheet: 16 workspaces of different sizes, each
+//! with callers at few of 26 entries, limits of 1.8 times the usual load, a burst of one
+//! second and 718 tokens a request. One or two workspaces send many times their usual
+//! load. The bound is the users': a tenth on top of the limit and 110,000 tokens in every
+//! window of 8 s.
 
 mod limited;
 
@@ -14,12 +16,12 @@
 use larkspring_core::limits::presence::Told;
 use larkspring_core::limits::LimitTerms;
 use larkspring_core::workspaces::{Limit, Unit, Workspace};
-use limited::{Fault, Shape, Way};
+use limited::{Allocation, Fault, Scenario};
 
 const SEEDS: [u64; 3] = [1, 2, 3];
 
 #[test]
-fn reservations_refuse_hardly_any_request_that_is_owed() {
+fn reservations_rarely_refuse_owed_requests() {
     struct Case {
         name: &'static str,
         hot: &'static [usize],
@@ -31,40 +33,45 @@
     ];
     for c in cases {
         for seed in SEEDS {
-            let mut shape = Shape::sheet(seed);
-            for of in c.hot {
-                shape.workspaces[*of].1 = 7.5;
+            let mut scenario = Scenario::agency_sheet(seed);
+            for index in c.hot {
+                scenario.workspaces[*index].1 = 7.5;
             }
-            let even = Shape { way: Way::Even, ..shape.clone() }.play();
-            let home = shape.play();
-            let part = |s: &limited::Seen| s.falsely_refused / s.owed;
+            let even_shares =
+                Scenario { allocation: Allocation::Even, ..scenario.clone() }.simulate();
+            let owner = scenario.simulate();
+            let refused_fraction = |s: &limited::Results| s.falsely_refused / s.owed;
             println!(
-                "{} seed {seed}: even {:.3}, home {:.4} of what is owed refused; worst \
-                 window {:.2}; {} messages",
+                "{} seed {seed}: refused of the owed units: even shares {:.3}, bucket owner \
+                 {:.4}; worst window {:.2}; {} messages",
                 c.name,
-                part(&even),
-                part(&home),
-                home.worst_window,
-                home.messages,
+                refused_fraction(&even_shares),
+                refused_fraction(&owner),
+                owner.worst_window,
+                owner.messages,
             );
-            assert!(part(&home) < c.most, "{} seed {seed}", c.name);
-            assert!(part(&home) < part(&even) / 4.0, "{} seed {seed}", c.name);
-            assert!(home.worst_window <= 1.0, "{} seed {seed}", c.name);
+            assert!(refused_fraction(&owner) < c.most, "{} seed {seed}", c.name);
+            assert!(
+                refused_fraction(&owner) < refused_fraction(&even_shares) / 4.0,
+                "{} seed {seed}",
+                c.name
+            );
+            assert!(owner.worst_window <= 1.0, "{} seed {seed}", c.name);
         }
     }
 }
 
-/// Whatever happens to homes and to the ways to them, no window lets in more than allowed,
-/// and most of what is owed goes through.
+/// Guards against usage over the bound, and against refused owed requests, when bucket
+/// owners are lost, frozen or unreachable.
 #[test]
-fn no_fault_lets_a_window_exceed_its_bound() {
+fn window_bound_holds_under_faults() {
     struct Case {
         name: &'static str,
         faults: Vec<(u64, u64, Fault)>,
-        /// Most of what is owed that may be refused.
+        /// Largest fraction of the owed units that may be refused.
         most: f64,
     }
-    let cuts = |entries: std::ops::Range<usize>, home| {
+    let partition = |entries: std::ops::Range<usize>, home| {
         entries.map(move |entry| (6000, 16_000, Fault::Cut { entry, home }))
     };
     let cases = [
@@ -90,12 +97,12 @@
         },
         Case {
             name: "a third of the entries is cut from the home",
-            faults: cuts(0..9, 0).collect(),
+            faults: partition(0..9, 0).collect(),
             most: 0.15,
         },
         Case {
             name: "one entry is cut from the home",
-            faults: cuts(3..4, 0).collect(),
+            faults: partition(3..4, 0).collect(),
             most: 0.08,
         },
         Case {
@@ -106,59 +113,59 @@
     ];
     for c in cases {
         for seed in SEEDS {
-            let mut shape = Shape::sheet(seed);
-            shape.workspaces[0].1 = 4.0;
-            shape.workspaces[3].1 = 7.5;
-            shape.faults = c.faults.clone();
-            let seen = shape.play();
-            let part = seen.falsely_refused / seen.owed;
-            let worst = seen.worst_window;
-            println!("{} seed {seed}: {part:.3} refused, window {worst:.2}", c.name);
+            let mut scenario = Scenario::agency_sheet(seed);
+            scenario.workspaces[0].1 = 4.0;
+            scenario.workspaces[3].1 = 7.5;
+            scenario.faults = c.faults.clone();
+            let results = scenario.simulate();
+            let refused = results.falsely_refused / results.owed;
+            let worst = results.worst_window;
+            println!("{} seed {seed}: {refused:.3} refused, window {worst:.2}", c.name);
             assert!(worst <= 1.0, "{} seed {seed}: a window at {worst:.2}", c.name);
-            assert!(part < c.most, "{} seed {seed}: {part:.3} refused", c.name);
+            assert!(refused < c.most, "{} seed {seed}: {refused:.3} refused", c.name);
         }
     }
 }
 
-/// Without any slack nothing may be out when a window begins, so each request asks for
-/// itself, and is let in by what its own ask brings.
+/// Without slack no reservation may be outstanding at the beginning of a window, so each
+/// request waits for its own units and is admitted by their grant.
 #[test]
-fn a_limit_without_slack_is_served_request_by_request() {
-    // Longer than a home without units is left alone.
+fn limit_without_slack_grants_units_request_by_request() {
+    // Longer than the time for which no units are requested from an empty bucket.
     const STEP: Duration = Duration::from_millis(200);
     let terms = LimitTerms { overage: 0.0, tolerance: 0.0, ..limited::TERMS };
     let limit = Limit { per_sec: 1000.0, burst: 1000.0, unit: Unit::Requests };
     let workspace = Workspace { name: "w".into(), priority: None, limit: Some(limit) };
-    let (mut home, mut accounts) = (Home::new(terms), Accounts::new(terms));
+    let (mut owner, mut reservations) = (Home::new(terms), Accounts::new(terms));
     let start = Instant::now();
     let mut admitted = 0;
     for step in 0..100_u32 {
         let now = start + STEP * step;
-        let entered = accounts.enter(now, &workspace, 1, 10.0, step);
-        assert_eq!(entered, None, "step {step}: it waits for its own ask");
-        let wants = accounts.wants(now, false);
+        let entered = reservations.enter(now, &workspace, 1, 10.0, step);
+        assert_eq!(entered, None, "step {step}: the request waits for its own units");
+        let wants = reservations.wants(now, false);
         let time = if step == 0 { Duration::ZERO } else { STEP };
         let told = Told { time, joined: step == 0 };
-        let grants = home.ask(now, &Ask { told, entries: 1, wants: &wants });
-        for (request, verdict) in accounts.granted(now, &grants) {
+        let grants = owner.ask(now, &Ask { told, entries: 1, wants: &wants });
+        for (request, verdict) in reservations.granted(now, &grants) {
             assert_eq!(request, step);
             admitted += usize::from(verdict == Verdict::Admitted);
         }
     }
-    // 200 units come with each step and 10 are asked; the first step finds nothing.
+    // Each step adds 200 units and requests 10; the first step finds an empty bucket.
     assert_eq!(admitted, 99);
 }
 
-/// Faults drawn at random: up to four of any kind, each for up to 4 s, with three hot
-/// workspaces.
+/// Guards against usage over the bound under random faults: up to four of any kind, each
+/// for up to 4 s, with three workspaces at 2 to 8 times their usual load.
 #[test]
-fn no_drawn_series_of_faults_lets_a_window_exceed_its_bound() {
-    for seed in 0..DRAWN {
+fn window_bound_holds_under_random_faults() {
+    for seed in 0..RANDOM_SERIES {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut shape = Shape::sheet(seed);
-        shape.secs = 12;
+        let mut scenario = Scenario::agency_sheet(seed);
+        scenario.secs = 12;
         for _ in 0..3 {
-            shape.workspaces[rng.usize(..16)].1 = 2.0 + 6.0 * rng.f64();
+            scenario.workspaces[rng.usize(..16)].1 = 2.0 + 6.0 * rng.f64();
         }
         for _ in 0..rng.usize(1..=4) {
             let from = rng.u64(3000..10_000);
@@ -168,12 +175,16 @@
                 2 => Fault::Cut { entry: rng.usize(..26), home: rng.usize(..2) },
                 _ => Fault::AllLost,
             };
-            shape.faults.push((from, from + rng.u64(300..4000), fault));
+            scenario.faults.push((from, from + rng.u64(300..4000), fault));
         }
-        let worst = shape.play().worst_window;
-        assert!(worst <= 1.0, "seed {seed}: a window at {worst:.3}: {:?}", shape.faults);
+        let worst = scenario.simulate().worst_window;
+        assert!(
+            worst <= 1.0,
+            "seed {seed}: a window at {worst:.3}: {:?}",
+            scenario.faults
+        );
     }
 }
 
-/// Series of faults that are drawn.
-const DRAWN: u64 = 60;
+/// Number of random series of faults.
+const RANDOM_SERIES: u64 = 60;
