--- a/crates/larkspring-core/tests/call_time.rs
+++ b/crates/larkspring-core/tests/call_time.rs
@@ -1,4 +1,4 @@
-//! How long an answer is waited for.
+//! Adaptive time-out of calls.
 
 use std::time::Duration;
 
@@ -9,13 +9,13 @@
 
 #[derive(Clone, Copy)]
 enum Call {
-    /// Answered after so many milliseconds.
+    /// Answered after this time in milliseconds.
     Answered(u64),
     Lost,
 }
 
 #[test]
-fn the_limit_follows_what_answers_take() {
+fn timeout_follows_response_times() {
     struct Case {
         name: &'static str,
         calls: Vec<Call>,
@@ -44,13 +44,13 @@
         },
     ];
     for c in cases {
-        let mut time = CallTime::new(BOUNDS);
+        let mut timeout = CallTime::new(BOUNDS);
         for call in c.calls {
             match call {
-                Answered(ms) => time.answered(Duration::from_millis(ms)),
-                Lost => time.lost(),
+                Answered(ms) => timeout.answered(Duration::from_millis(ms)),
+                Lost => timeout.lost(),
             }
         }
-        assert_eq!(time.limit().as_millis() as u64, c.limit, "{}", c.name);
+        assert_eq!(timeout.limit().as_millis() as u64, c.limit, "{}", c.name);
     }
 }
--- a/crates/larkspring-core/tests/limited/mod.rs
+++ b/crates/larkspring-core/tests/limited/mod.rs
@@ -22,7 +22,7 @@
     /// Each entry has an even share of each limit.
     Even,
     /// Entries reserve units at a bucket owner.
-    Home,
+    BucketOwner,
 }
 
 /// A temporary fault of processes.
@@ -90,8 +90,8 @@
 const OWNER_RETRY_MS: u64 = 1000;
 
 enum Message {
-    Request { entry: usize, home: usize, told: Told, wants: Vec<Want> },
-    Response { entry: usize, home: usize, grants: Vec<Grant> },
+    Request { entry: usize, owner: usize, told: Told, wants: Vec<Want> },
+    Response { entry: usize, owner: usize, grants: Vec<Grant> },
 }
 
 struct Entry {
@@ -121,7 +121,7 @@
             costs: &[(718.0, 0.62), (200.0, 0.35), (9244.0, 0.015), (20_000.0, 0.015)],
             callers: 14,
             faults: Vec::new(),
-            allocation: Allocation::Home,
+            allocation: Allocation::BucketOwner,
         }
     }
 
@@ -211,17 +211,17 @@
         self.scenario.faults.iter().filter(active).any(|(_, _, fault)| is(*fault))
     }
 
-    fn reaches(&self, ms: u64, entry: usize, home: usize) -> bool {
+    fn reaches(&self, ms: u64, entry: usize, owner: usize) -> bool {
         !self.has_fault(ms, |fault| match fault {
-            Fault::HomeLost(lost) => lost == home,
-            Fault::Cut { entry: cut, home: from } => cut == entry && from == home,
+            Fault::HomeLost(lost) => lost == owner,
+            Fault::Cut { entry: cut, home: from } => cut == entry && from == owner,
             Fault::AllLost => true,
             Fault::HomeFrozen(_) => false,
         })
     }
 
-    fn is_frozen(&self, ms: u64, home: usize) -> bool {
-        self.has_fault(ms, |fault| matches!(fault, Fault::HomeFrozen(h) if h == home))
+    fn is_frozen(&self, ms: u64, owner: usize) -> bool {
+        self.has_fault(ms, |fault| matches!(fault, Fault::HomeFrozen(h) if h == owner))
     }
 
     fn begin_faults(&mut self, ms: u64) {
@@ -230,11 +230,11 @@
                 continue;
             }
             match fault {
-                Fault::HomeLost(home) => self.bucket_owners[home] = Home::new(TERMS),
+                Fault::HomeLost(owner) => self.bucket_owners[owner] = Home::new(TERMS),
                 Fault::AllLost => {
                     self.bucket_owners
                         .iter_mut()
-                        .for_each(|home| *home = Home::new(TERMS));
+                        .for_each(|owner| *owner = Home::new(TERMS));
                     for entry in &mut self.entries {
                         entry.reservations = self.scenario.reservations();
                         entry.even_share = Home::new(TERMS);
@@ -245,21 +245,21 @@
         }
     }
 
-    /// Returns the bucket owner of an entry: the first that is reachable and was
-    /// responsive within the last 900 ms.
+    /// Returns the bucket owner of an entry: the first that is reachable, was responsive
+    /// within the last 900 ms and has not failed to answer lately.
     fn bucket_owner(&self, ms: u64, entry: usize) -> Option<usize> {
         if self.scenario.allocation == Allocation::Even {
             return None;
         }
         let skipped_owners = &self.entries[entry].skipped_owners;
-        let is_unresponsive = |home| {
+        let is_unresponsive = |owner| {
             let mut since = (ms.saturating_sub(900)..=ms).step_by(20);
-            since.all(|at| !self.reaches(at, entry, home) || self.is_frozen(at, home))
+            since.all(|at| !self.reaches(at, entry, owner) || self.is_frozen(at, owner))
         };
-        let is_usable = |home: &usize| {
+        let is_usable = |owner: &usize| {
             let skipped =
-                skipped_owners.iter().any(|(owner, until)| owner == home && *until > ms);
-            !skipped && self.reaches(ms, entry, *home) && !is_unresponsive(*home)
+                skipped_owners.iter().any(|(id, until)| id == owner && *until > ms);
+            !skipped && self.reaches(ms, entry, *owner) && !is_unresponsive(*owner)
         };
         (0..self.bucket_owners.len()).find(is_usable)
     }
@@ -270,9 +270,9 @@
         let asked = self.entries[entry].reservations.unanswered(now, &mut decided);
         let changed = self.at(self.entries[entry].owner_failed_at);
         if asked.is_some_and(|asked| asked > changed) {
-            if let Some(home) = self.bucket_owner(ms, entry) {
+            if let Some(owner) = self.bucket_owner(ms, entry) {
                 let until = ms + OWNER_RETRY_MS;
-                self.entries[entry].skipped_owners.push((home, until));
+                self.entries[entry].skipped_owners.push((owner, until));
             }
             self.entries[entry].owner_failed_at = ms;
         }
@@ -285,12 +285,12 @@
         if is_poll {
             self.entries[entry].next_poll = ms + POLL_INTERVAL_MS;
         }
-        let home = self.bucket_owner(ms, entry);
-        let told = self.entries[entry].serving_time.ask(now, home);
+        let owner = self.bucket_owner(ms, entry);
+        let told = self.entries[entry].serving_time.ask(now, owner);
         if told.joined {
             self.entries[entry].reservations.home_changed();
         }
-        let Some(home) = home else {
+        let Some(owner) = owner else {
             let all = self.scenario.entries;
             let entry = &mut self.entries[entry];
             let ask = Ask { told, entries: all, wants: &wants };
@@ -299,14 +299,14 @@
             return self.decide(ms, decided);
         };
         self.results.messages += 1;
-        let message = Message::Request { entry, home, told, wants };
+        let message = Message::Request { entry, owner, told, wants };
         self.sent.push_back((ms + LATENCY_MS, message));
     }
 
     fn deliver(&mut self, ms: u64) {
-        for home in 0..self.bucket_owners.len() {
-            if !self.is_frozen(ms, home) {
-                let delayed = std::mem::take(&mut self.frozen[home]);
+        for owner in 0..self.bucket_owners.len() {
+            if !self.is_frozen(ms, owner) {
+                let delayed = std::mem::take(&mut self.frozen[owner]);
                 self.sent.extend(delayed);
             }
         }
@@ -317,20 +317,20 @@
                 continue;
             }
             match message {
-                Message::Request { entry, home, told, wants } => {
-                    if self.is_frozen(ms, home) {
-                        let delayed = Message::Request { entry, home, told, wants };
-                        self.frozen[home].push_back((ms, delayed));
-                    } else if self.reaches(ms, entry, home) {
+                Message::Request { entry, owner, told, wants } => {
+                    if self.is_frozen(ms, owner) {
+                        let delayed = Message::Request { entry, owner, told, wants };
+                        self.frozen[owner].push_back((ms, delayed));
+                    } else if self.reaches(ms, entry, owner) {
                         let (now, all) = (self.at(ms), self.scenario.entries);
                         let ask = Ask { told, entries: all, wants: &wants };
-                        let grants = self.bucket_owners[home].ask(now, &ask);
-                        let message = Message::Response { entry, home, grants };
+                        let grants = self.bucket_owners[owner].ask(now, &ask);
+                        let message = Message::Response { entry, owner, grants };
                         later.push_back((ms + LATENCY_MS, message));
                     }
                 }
-                Message::Response { entry, home, grants } => {
-                    if self.reaches(ms, entry, home) {
+                Message::Response { entry, owner, grants } => {
+                    if self.reaches(ms, entry, owner) {
                         let now = self.at(ms);
                         let decided =
                             self.entries[entry].reservations.granted(now, &grants);
--- a/crates/larkspring-core/tests/once.rs
+++ b/crates/larkspring-core/tests/once.rs
@@ -1,4 +1,5 @@
-//! At most once: tenures that share no birth, and claims that are granted once.
+//! Requests that run at most once: tenures without shared births, and claims granted
+//! once.
 
 use std::time::Duration;
 
@@ -25,7 +26,7 @@
 }
 
 #[test]
-fn standing_of_a_key() {
+fn record_status_of_a_key() {
     struct Case {
         t: Tenure,
         now: Millis,
@@ -37,17 +38,17 @@
     let cases = [
         case(tenure(0, 1000, 0), 500, 400, Standing::Known),
         case(tenure(0, 1000, 0), 500, 509, Standing::Known),
-        // A birth too far ahead of the clock is nobody's yet.
+        // A birth too far ahead of the clock belongs to no holder yet.
         case(tenure(0, 1000, 0), 500, 510, Standing::Foreign),
         case(tenure(0, 1000, 0), 2000, 1000, Standing::Foreign),
-        // A holder that was paused still answers for its own births, and no others.
+        // A holder that was paused still holds its own births, and no others.
         case(tenure(0, 1000, 0), 2000, 999, Standing::Known),
-        // A key as old as the retention may have been forgotten.
+        // The record of a key as old as the retention may have been dropped.
         case(tenure(0, 9000, 0), 5400, 411, Standing::Known),
         case(tenure(0, 9000, 0), 5400, 410, Standing::Lost),
         case(later(), 3000, 999, Standing::Lost),
         case(later(), 3000, 1000, Standing::Known),
-        // Without a birth only the time since the takeover tells.
+        // Without a birth only the time since the takeover counts.
         case(tenure(0, 1000, 0), 500, 0, Standing::Known),
         case(tenure(0, 1000, 0), 1000, 0, Standing::Foreign),
         case(later(), 3000, 0, Standing::LostUntil(7000)),
@@ -60,7 +61,7 @@
 }
 
 #[test]
-fn takeover_waits_for_the_end_of_the_range_or_the_proof() {
+fn takeover_waits_for_the_end_of_the_range_or_of_the_run() {
     struct Case {
         old: Tenure,
         holder: Holder,
@@ -83,7 +84,7 @@
 }
 
 #[test]
-fn renewal_extends_a_range_that_has_not_lapsed() {
+fn renewal_extends_only_an_unexpired_range() {
     let t = tenure(0, 1000, 0);
     assert_eq!(renewal(&t, &TERMS, 100), None);
     assert_eq!(renewal(&t, &TERMS, 200).map(|t| t.until_ms), Some(1200));
@@ -98,8 +99,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whoever renews, lapses, ends or is paused, and whatever the clocks say within
-    /// their skew: no birth is ever known to two runs that may both grant.
+    /// Guards against a birth that two runs may both grant, under any order of renewals,
+    /// expiries, ends and pauses of runs, and any clocks within their skew.
     #[test]
     fn no_birth_has_two_holders(
         steps in prop::collection::vec((0..3u8, 1..400u64, 0..10u64), 1..40),
@@ -119,7 +120,7 @@
                 _ => {
                     let me = run(present.run + 1);
                     let taken = takeover(&present, &me, Holder::Ended, &TERMS, seen);
-                    // Its clock may be ahead by the skew.
+                    // The old holder's clock may be ahead by the skew.
                     past.push((present.clone(), now + 10));
                     taken
                 }
@@ -168,16 +169,16 @@
 }
 
 #[test]
-fn settled_claim_answers_a_resend() {
+fn settled_claim_answers_a_retry() {
     struct Case {
         settled: Settled,
-        resend: Verdict,
+        retry: Verdict,
         answer: Option<&'static str>,
     }
     let cases = [
-        Case { settled: Settled::Ran, resend: Verdict::Ran, answer: Some("x") },
-        Case { settled: Settled::Unknown, resend: Verdict::Unknown, answer: None },
-        Case { settled: Settled::NotRun, resend: Verdict::Granted, answer: None },
+        Case { settled: Settled::Ran, retry: Verdict::Ran, answer: Some("x") },
+        Case { settled: Settled::Unknown, retry: Verdict::Unknown, answer: None },
+        Case { settled: Settled::NotRun, retry: Verdict::Granted, answer: None },
     ];
     for case in cases {
         let mut claims = claims();
@@ -186,13 +187,13 @@
         assert_eq!(claims.claim(0, ask(1, "c")).0, Verdict::Running);
         claims.settle(1, "a", case.settled, case.answer.map(|a| (a, 1)));
         claims.settle(1, "a", Settled::NotRun, None);
-        let resend = claims.claim(1, ask(1, "d"));
-        assert_eq!(resend, (case.resend, case.answer), "{:?}", case.settled);
+        let retry = claims.claim(1, ask(1, "d"));
+        assert_eq!(retry, (case.retry, case.answer), "{:?}", case.settled);
     }
 }
 
 #[test]
-fn keys_are_kept_for_the_retention_and_answers_while_there_is_room() {
+fn keys_are_kept_for_the_retention_and_answers_up_to_the_limit() {
     let mut claims = claims();
     for key in 1..=3 {
         assert_eq!(claims.claim(0, ask(key, "a")).0, Verdict::Granted);
@@ -207,7 +208,7 @@
 }
 
 #[test]
-fn key_given_back_and_claimed_again_is_kept_from_then_on() {
+fn retention_of_a_reclaimed_key_starts_at_the_last_claim() {
     let mut claims = claims();
     claims.claim(0, ask(1, "a"));
     claims.settle(1, "a", Settled::NotRun, None);
@@ -216,7 +217,7 @@
 }
 
 #[test]
-fn claims_that_are_handed_over_are_known_as_before() {
+fn claims_survive_a_handover() {
     let mut old = claims();
     old.claim(0, ask(1, "a"));
     old.settle(1, "a", Settled::Ran, Some(("x", 1)));
@@ -227,6 +228,6 @@
     assert_eq!(new.claim(11, ask(2, "b")).0, Verdict::Running);
     new.settle(2, "a", Settled::NotRun, None);
     assert_eq!(new.claim(12, ask(2, "b")).0, Verdict::Granted);
-    // The time of retention counts from the first claim.
+    // The retention counts from the first claim.
     assert_eq!(new.claim(5000, ask(1, "b")).0, Verdict::Granted);
 }
--- a/crates/larkspring-core/tests/outcome.rs
+++ b/crates/larkspring-core/tests/outcome.rs
@@ -1,9 +1,9 @@
-//! What a refusal says after several attempts at one request.
+//! The outcome of a refusal after several attempts at a request.
 
 use larkspring_core::outcome::{Outcome, Refusal, Step};
 
 #[test]
-fn earlier_attempt_that_may_have_run_shows() {
+fn refusal_keeps_an_earlier_outcome_that_may_have_run() {
     struct Case {
         earlier: Option<Outcome>,
         last: fn(Step, &'static str) -> Refusal,
--- a/crates/larkspring-core/tests/workspaces.rs
+++ b/crates/larkspring-core/tests/workspaces.rs
@@ -1,4 +1,4 @@
-//! Workspaces and keys: what is refused when they are declared, and what is shown of keys.
+//! Validation of declared workspaces, lookups by key, and the secrecy of keys.
 
 use larkspring_core::workspaces::{
     KeyHash, Limit, Unit, Workspace, WorkspaceError, Workspaces,
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn declared_workspaces_are_checked() {
+fn declared_workspaces_are_validated() {
     let a = || workspace("a", None);
     let cases = [
         Case { name: "none", declared: vec![], error: None },
@@ -67,20 +67,20 @@
         },
     ];
     for c in cases {
-        let made = Workspaces::new(c.declared);
-        let text = made.as_ref().err().map(ToString::to_string).unwrap_or_default();
+        let built = Workspaces::new(c.declared);
+        let text = built.as_ref().err().map(ToString::to_string).unwrap_or_default();
         assert!(!text.contains("secret"), "{}: {text} shows a key", c.name);
-        assert_eq!(made.err(), c.error, "{}", c.name);
+        assert_eq!(built.err(), c.error, "{}", c.name);
     }
 }
 
 #[test]
-fn a_key_finds_its_workspace_and_nothing_else_does() {
+fn only_exact_keys_find_a_workspace() {
     let declared = [
         (workspace("a", None), vec![key("k1"), key("k2")]),
         (workspace("b", None), vec![key("k3")]),
     ];
-    let workspaces = Workspaces::new(declared).expect("they are valid");
+    let workspaces = Workspaces::new(declared).expect("the workspaces are valid");
     let found = |text| workspaces.find(&key(text)).map(|w| w.name.to_string());
     assert_eq!(found("k1").as_deref(), Some("a"));
     assert_eq!(found("k2").as_deref(), Some("a"));
@@ -91,15 +91,15 @@
 }
 
 #[test]
-fn nothing_that_is_printed_shows_a_key_or_its_hash() {
+fn debug_output_shows_no_key_or_hash() {
     let declared = [(workspace("a", None), vec![key("k1")])];
-    let workspaces = Workspaces::new(declared).expect("they are valid");
+    let workspaces = Workspaces::new(declared).expect("the workspaces are valid");
     assert_eq!(format!("{:?}", key("k1")), "KeyHash(..)");
     assert_eq!(format!("{workspaces:?}"), "Workspaces { count: 1, keys: 1 }");
 }
 
 #[test]
-fn a_request_counts_by_the_unit_of_its_limit() {
+fn requests_cost_units_of_the_limit() {
     struct Cost {
         unit: Unit,
         tokens: Option<u64>,
