--- a/crates/larkspring-core/src/limits/home.rs
+++ b/crates/larkspring-core/src/limits/home.rs
@@ -103,7 +103,7 @@
 /// Fraction of a full bucket below which no units are granted ahead of requests: units
 /// that an entry keeps in reserve are then missing at another entry.
 const MIN_RESERVE_FRACTION: f64 = 0.3;
-/// Largest number of buckets; full buckets are evicted first.
+/// Number of buckets from which on full buckets are evicted.
 const MAX_BUCKETS: usize = 16 * 1024;
 /// Longest wait in a grant, in seconds.
 const MAX_WAIT_SECS: f64 = 10.0;
--- a/crates/larkspring-core/src/limits/mod.rs
+++ b/crates/larkspring-core/src/limits/mod.rs
@@ -21,8 +21,8 @@
 //!   that entries reported up to a poll interval later.
 //! - A request that finds any units in its bucket may bring the bucket down to a debt of
 //!   [`BucketParams::max_debt`].
-//! - All entries together use up to [`BucketParams::max_overdraft`] before it is granted,
-//!   and settle it with the next request for units.
+//! - All entries together use up to [`BucketParams::max_overdraft`] units before they are
+//!   granted, and settle them with the next request for units.
 //!
 //! A change of the bucket owner, or two bucket owners at once because entries reach
 //! different processes, costs no slack: see [`presence`].
--- a/crates/larkspring-core/src/workspaces.rs
+++ b/crates/larkspring-core/src/workspaces.rs
@@ -143,7 +143,7 @@
         Ok(Self { by_key, count: names.len() })
     }
 
-    /// Finds the workspace of a key.
+    /// Returns the workspace that a key belongs to.
     ///
     /// The lookup is by hash, so the time that it takes reveals nothing about the key.
     pub fn find(&self, key: &KeyHash) -> Option<&Arc<Workspace>> {
