--- a/crates/larkspring-core/src/claims.rs
+++ b/crates/larkspring-core/src/claims.rs
@@ -1,68 +1,68 @@
-//! Which requests have run, for those that run at most once.
+//! Records of requests that run at most once, by idempotency key.
 //!
-//! One table holds the keys of the partitions of one entry. A key stays for the time of
-//! retention, and its answer for as long as there is room.
+//! A table holds the keys of all partitions of an entry. A key is kept for the retention
+//! time, and its answer for as long as there is room.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
 use crate::tenure::{millis, Millis};
 
-/// Keys that were claimed and how their requests ended.
+/// The claimed keys and the results of their requests.
 #[derive(Debug)]
 pub struct Claims<A> {
     limits: ClaimLimits,
-    held: HashMap<ClaimKey, Claim<A>>,
+    claims: HashMap<ClaimKey, Claim<A>>,
     /// Keys in the order of their claims, with the time of the claim.
     order: VecDeque<(Millis, ClaimKey)>,
-    /// Keys with an answer, the oldest first.
+    /// Keys with a stored answer, the oldest first.
     answered: VecDeque<ClaimKey>,
     answer_bytes: usize,
 }
 
-/// Bounds of a table.
+/// Limits of a table.
 #[derive(Debug, Clone, Copy)]
 pub struct ClaimLimits {
-    /// How long a key is kept at least.
+    /// Shortest time for which a key is kept.
     pub retention: Duration,
-    /// Keys that are kept.
+    /// Largest number of keys.
     pub keys: usize,
-    /// Bytes of answers that are kept.
+    /// Total size of the stored answers, in bytes.
     pub answer_bytes: usize,
 }
 
-/// Caller and key, hashed to 128 bits.
+/// 128-bit hash of the caller and the idempotency key.
 pub type ClaimKey = u128;
 
-/// A try to claim a key.
+/// A request to claim a key.
 #[derive(Debug, Clone)]
 pub struct Ask {
     /// The key.
     pub key: ClaimKey,
-    /// Hash of the request, by which a key used twice shows.
+    /// Hash of the request, which reveals a key that is used for two requests.
     pub request: u64,
-    /// Name of the attempt; the same one may ask again.
+    /// Name of the attempt; the same attempt may send the claim again.
     pub attempt: String,
-    /// When an attempt that was not settled counts as unclear.
+    /// Time from which the result of an attempt that was not settled counts as unknown.
     pub deadline: Millis,
 }
 
-/// Answer to a try to claim a key.
+/// Answer to a request to claim a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// The key is the asker's; the request may run.
+    /// The attempt holds the key; the request may run.
     Granted,
-    /// Another attempt is under way.
+    /// Another attempt is running.
     Running,
-    /// The request ran to a whole answer.
+    /// The request ran to a complete answer.
     Ran,
     /// An endpoint may have run the request.
     Unknown,
     /// The key was used for another request.
     Mismatch,
-    /// The table is full; nothing is known of the key.
+    /// The table is full and has no record of the key.
     Full,
-    /// The asked process does not hold the key's partition.
+    /// The receiving process does not hold the key's partition.
     Foreign,
 }
 
@@ -82,21 +82,21 @@
         self as u32 + 1
     }
 
-    /// Reads the number used in messages; a foreign number is `Unknown`.
+    /// Converts the number used in messages; an unrecognised number is `Unknown`.
     pub fn from_code(code: u32) -> Self {
-        let place = (code as usize).wrapping_sub(1);
-        VERDICTS.get(place).copied().unwrap_or(Self::Unknown)
+        let index = (code as usize).wrapping_sub(1);
+        VERDICTS.get(index).copied().unwrap_or(Self::Unknown)
     }
 }
 
-/// How the attempt that held a key ended.
+/// Result of the attempt that held a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Settled {
-    /// It was proved that no endpoint got the request.
+    /// It was proved that no endpoint received the request.
     NotRun,
-    /// It ran to a whole answer.
+    /// The request ran to a complete answer.
     Ran,
-    /// An endpoint may have run it.
+    /// An endpoint may have run the request.
     Unknown,
 }
 
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Reads the number used in messages; a foreign number is `Unknown`.
+    /// Converts the number used in messages; an unrecognised number is `Unknown`.
     pub fn from_code(code: u32) -> Self {
         match code {
             1 => Self::NotRun,
@@ -120,20 +120,20 @@
     }
 }
 
-/// What is known of one key.
+/// Record of a claimed key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Claim<A> {
-    /// When it was claimed.
+    /// When the key was claimed.
     pub claimed: Millis,
     /// Hash of the request.
     pub request: u64,
-    /// Name of the attempt that holds it.
+    /// Name of the attempt that holds the key.
     pub attempt: String,
-    /// When the attempt counts as unclear if it is not settled.
+    /// Time from which the result of the attempt counts as unknown if it is not settled.
     pub deadline: Millis,
-    /// How the attempt ended, if it has.
+    /// Result of the attempt, once it has ended.
     pub settled: Option<Settled>,
-    /// The answer with its length in bytes, while it is kept.
+    /// The stored answer with its length in bytes.
     pub answer: Option<(A, usize)>,
 }
 
@@ -142,20 +142,21 @@
     pub fn new(limits: ClaimLimits) -> Self {
         Self {
             limits,
-            held: HashMap::new(),
+            claims: HashMap::new(),
             order: VecDeque::new(),
             answered: VecDeque::new(),
             answer_bytes: 0,
         }
     }
 
-    /// Claims a key of which all is known, or says who came first, with the answer.
+    /// Claims a key, or returns the verdict on an earlier claim with its stored answer.
+    /// Must only be called for keys on which this process has complete records.
     pub fn claim(&mut self, now: Millis, ask: Ask) -> (Verdict, Option<A>) {
-        self.forget(now);
-        if let Some(claim) = self.held.get(&ask.key) {
+        self.drop_expired(now);
+        if let Some(claim) = self.claims.get(&ask.key) {
             return (claim.verdict(now, &ask), claim.answer.clone().map(|(a, _)| a));
         }
-        if self.held.len() >= self.limits.keys {
+        if self.claims.len() >= self.limits.keys {
             return (Verdict::Full, None);
         }
         self.order.push_back((now, ask.key));
@@ -167,18 +168,20 @@
             settled: None,
             answer: None,
         };
-        self.held.insert(ask.key, claim);
+        self.claims.insert(ask.key, claim);
         (Verdict::Granted, None)
     }
 
-    /// Says what is known of a key, without claiming it; `None` if nothing.
+    /// Returns the verdict on a key without claiming it; `None` if the key is not in the
+    /// table.
     pub fn look(&mut self, now: Millis, ask: &Ask) -> Option<(Verdict, Option<A>)> {
-        self.forget(now);
-        let claim = self.held.get(&ask.key)?;
+        self.drop_expired(now);
+        let claim = self.claims.get(&ask.key)?;
         Some((claim.verdict(now, ask), claim.answer.clone().map(|(a, _)| a)))
     }
 
-    /// Records how the attempt that holds a key ended; others' words change nothing.
+    /// Records the result of the attempt that holds a key; results of other attempts are
+    /// ignored.
     pub fn settle(
         &mut self,
         key: ClaimKey,
@@ -186,12 +189,12 @@
         settled: Settled,
         answer: Option<(A, usize)>,
     ) {
-        let Some(claim) = self.held.get_mut(&key) else { return };
+        let Some(claim) = self.claims.get_mut(&key) else { return };
         if claim.attempt != attempt || claim.settled.is_some() {
             return;
         }
         if settled == Settled::NotRun {
-            self.held.remove(&key);
+            self.claims.remove(&key);
             return;
         }
         claim.settled = Some(settled);
@@ -201,57 +204,57 @@
             claim.answer = Some((answer, len));
             self.answered.push_back(key);
             self.answer_bytes += len;
-            self.drop_answers();
+            self.evict_answers();
         }
     }
 
-    /// Returns all that is known, the oldest claim first.
+    /// Returns all claims, the oldest first.
     pub fn export(&self) -> Vec<(ClaimKey, Claim<A>)> {
-        let mut all: Vec<_> = self.held.iter().map(|(k, c)| (*k, c.clone())).collect();
+        let mut all: Vec<_> = self.claims.iter().map(|(k, c)| (*k, c.clone())).collect();
         all.sort_by_key(|(key, claim)| (claim.claimed, *key));
         all
     }
 
-    /// Takes in what another holder knew, the oldest claim first.
+    /// Adds the claims of another holder, given with the oldest first.
     pub fn import(&mut self, claims: Vec<(ClaimKey, Claim<A>)>) {
         for (key, mut claim) in claims {
             let answer = claim.answer.take();
             let settled = claim.settled.take();
             let attempt = claim.attempt.clone();
             self.order.push_back((claim.claimed, key));
-            self.held.insert(key, claim);
+            self.claims.insert(key, claim);
             if let Some(settled) = settled {
                 self.settle(key, &attempt, settled, answer);
             }
         }
     }
 
-    /// Number of keys that are kept.
+    /// Returns the number of keys in the table.
     pub fn len(&self) -> usize {
-        self.held.len()
+        self.claims.len()
     }
 
-    /// Whether no key is kept.
+    /// Whether the table has no keys.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.claims.is_empty()
     }
 
-    fn forget(&mut self, now: Millis) {
-        let keep = millis(self.limits.retention);
+    fn drop_expired(&mut self, now: Millis) {
+        let retention = millis(self.limits.retention);
         while let Some((at, key)) = self.order.front().copied() {
-            if now < at + keep {
+            if now < at + retention {
                 return;
             }
             self.order.pop_front();
-            // The key may have been given back and claimed again since.
-            if self.held.get(&key).is_some_and(|claim| claim.claimed == at) {
+            // The key may have been released and claimed again since.
+            if self.claims.get(&key).is_some_and(|claim| claim.claimed == at) {
                 self.remove_answer(key);
-                self.held.remove(&key);
+                self.claims.remove(&key);
             }
         }
     }
 
-    fn drop_answers(&mut self) {
+    fn evict_answers(&mut self) {
         while self.answer_bytes > self.limits.answer_bytes {
             let Some(key) = self.answered.pop_front() else { return };
             self.remove_answer(key);
@@ -259,7 +262,7 @@
     }
 
     fn remove_answer(&mut self, key: ClaimKey) {
-        let claim = self.held.get_mut(&key);
+        let claim = self.claims.get_mut(&key);
         if let Some((_, len)) = claim.and_then(|claim| claim.answer.take()) {
             self.answer_bytes -= len;
         }
--- a/crates/larkspring-core/src/declared.rs
+++ b/crates/larkspring-core/src/declared.rs
@@ -1,4 +1,4 @@
-//! The declared state in force, indexed for look-ups on the path of a request.
+//! The declared state in force, indexed for lookups on the request path.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -20,7 +20,7 @@
 /// The declared state of one revision.
 #[derive(Debug, Default)]
 pub struct State {
-    /// Its revision; 0 before the first.
+    /// Revision of the state; 0 before the first.
     pub revision: Revision,
     parts: Vec<Arc<Part>>,
     callers: HashMap<KeyHash, Arc<Caller>>,
@@ -34,7 +34,8 @@
 #[derive(Debug, Default)]
 struct Engines {
     all: Vec<Arc<Endpoint>>,
-    /// The same in groups by the hash of their names, a power of two of them.
+    /// The same engines grouped by the hash of their names; the number of groups is a
+    /// power of two.
     groups: Vec<Vec<Arc<Endpoint>>>,
 }
 
@@ -43,7 +44,7 @@
 pub struct Part {
     /// Content hash of the chunk.
     pub hash: String,
-    /// The chunk as a message, to be passed on.
+    /// The encoded chunk, for sending to other processes.
     pub message: Bytes,
     /// Sorted by name.
     adapters: Vec<Adapter>,
@@ -76,11 +77,11 @@
 /// A caller as declared.
 #[derive(Debug)]
 pub struct Caller {
-    /// Its name.
+    /// Name of the caller.
     pub name: CallerId,
-    /// The most urgent priority it may ask for.
+    /// The most urgent priority that the caller may request.
     pub priority: u32,
-    /// Requests at a time for each entry; 0 for the entry's own limit.
+    /// Largest number of concurrent requests at each entry; 0 for the entry's own limit.
     pub max_streams: u32,
     key_sha256: KeyHash,
     groups: Vec<String>,
@@ -97,23 +98,23 @@
 /// An endpoint as declared.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Endpoint {
-    /// Its name.
+    /// Name of the endpoint.
     pub name: EndpointId,
-    /// The hall it stands in.
+    /// The hall of the endpoint's VM.
     pub hall: HallId,
-    /// The VM it runs on.
+    /// The VM that the endpoint runs on.
     pub vm: VmId,
-    /// Address of its agent.
+    /// Address of the endpoint's agent.
     pub agent: String,
-    /// What it serves.
+    /// The base model or service that the endpoint serves.
     pub serves: Serves,
-    /// Whether it gets no new requests.
+    /// Whether the endpoint is draining and gets no new requests.
     pub leaving: bool,
-    /// Whether it checks the epoch of an order.
+    /// Whether the endpoint checks the epoch of a command.
     pub checks_fences: bool,
 }
 
-/// What an endpoint serves.
+/// The base model or service that an endpoint serves.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Serves {
     /// Adapters of a base model.
@@ -122,12 +123,12 @@
     Service(ServiceId),
 }
 
-/// What a request to a model engine named.
+/// The adapter that the model name of a request resolves to.
 #[derive(Debug, Clone)]
 pub struct ModelChoice {
     /// The exact adapter.
     pub target: Target,
-    /// The model it is tuned from.
+    /// The base model that the adapter is tuned from.
     pub base: BaseId,
     /// Whether the request runs at most once.
     pub not_repeatable: bool,
@@ -140,7 +141,7 @@
         for part in &parts {
             state.add(part);
         }
-        state.by_base.values_mut().for_each(Engines::group);
+        state.by_base.values_mut().for_each(Engines::build_groups);
         state.parts = parts;
         state
     }
@@ -154,12 +155,12 @@
     pub fn caller(&self, key: &str) -> Option<Arc<Caller>> {
         let hash = key_hash(key);
         let caller = self.callers.get(&hash)?;
-        // The look-up is by hash, so its time says nothing of the key itself.
+        // The lookup is by hash, so its time reveals nothing about the key.
         let same: bool = caller.key_sha256.as_bytes().ct_eq(hash.as_bytes()).into();
         same.then(|| caller.clone())
     }
 
-    /// Finds the exact adapter that `model` names for `caller`.
+    /// Resolves the model name `model` to an exact adapter that `caller` may use.
     pub fn resolve(&self, model: &str, caller: &Caller) -> Result<ModelChoice, Refusal> {
         let (name, version) = match model.split_once(VERSION_MARK) {
             Some((name, version)) => (name, Some(version)),
@@ -168,7 +169,7 @@
         let Some(adapter) = self.adapter(name) else {
             return Err(unknown_name("adapter", name));
         };
-        if !allowed(&adapter.groups, &caller.groups) {
+        if !is_allowed(&adapter.groups, &caller.groups) {
             return Err(forbidden("adapter", name));
         }
         let version = version.unwrap_or(&adapter.default_version);
@@ -185,7 +186,8 @@
         })
     }
 
-    /// Checks the call of a plain service and says whether it runs at most once.
+    /// Checks that `caller` may call a plain service, and returns whether the call runs
+    /// at most once.
     pub fn service_call(
         &self,
         service: &str,
@@ -196,14 +198,15 @@
         let Some(found) = self.services.get(service) else {
             return Err(unknown_name("service", service));
         };
-        if !allowed(&found.groups, &caller.groups) {
+        if !is_allowed(&found.groups, &caller.groups) {
             return Err(forbidden("service", service));
         }
         let mut rules = found.not_repeatable.iter();
         Ok(rules.any(|(m, prefix)| m == method && path.starts_with(prefix)))
     }
 
-    /// Returns where the weight store keeps an exact adapter, if it is declared.
+    /// Returns the location of an exact adapter in the weight store, if the adapter is
+    /// declared.
     pub fn weights(&self, target: &Target) -> Option<&str> {
         let adapter = self.adapter(&target.adapter)?;
         adapter.version(&target.version).map(|v| &*v.weights)
@@ -215,7 +218,7 @@
             .parts
             .iter()
             .flat_map(|part| &part.adapters)
-            .filter(|adapter| allowed(&adapter.groups, &caller.groups));
+            .filter(|adapter| is_allowed(&adapter.groups, &caller.groups));
         let mut names: Vec<_> = reachable.flat_map(Adapter::model_names).collect();
         names.sort();
         names
@@ -226,9 +229,10 @@
         self.by_base.get(base).map_or(&[], |engines| &engines.all)
     }
 
-    /// Returns the endpoints of a base model among which a target has its candidates.
+    /// Returns the endpoints of a base model from which the candidates for a target are
+    /// chosen.
     pub fn engines_near(&self, base: &str, target: TargetHash) -> Vec<&Arc<Endpoint>> {
-        self.by_base.get(base).map_or_else(Vec::new, |engines| engines.near(target))
+        self.by_base.get(base).map_or_else(Vec::new, |engines| engines.candidates(target))
     }
 
     /// Returns the endpoints of a plain service.
@@ -287,53 +291,54 @@
 }
 
 impl Engines {
-    /// Sorts the engines into groups of [`GROUP`] on average.
-    fn group(&mut self) {
-        let count = self.all.len().div_ceil(GROUP).next_power_of_two();
+    /// Divides the engines into groups of [`MEAN_GROUP_SIZE`] engines on average.
+    fn build_groups(&mut self) {
+        let count = self.all.len().div_ceil(MEAN_GROUP_SIZE).next_power_of_two();
         self.groups = vec![Vec::new(); count];
         for endpoint in &self.all {
             self.groups[place(&endpoint.name, count)].push(endpoint.clone());
         }
     }
 
-    /// Returns the groups that a target ranks first, up to enough endpoints.
-    fn near(&self, target: TargetHash) -> Vec<&Arc<Endpoint>> {
-        if self.all.len() <= NEAR {
+    /// Returns the endpoints of the groups that rank first for a target, until there are
+    /// [`MIN_CANDIDATE_POOL`] of them.
+    fn candidates(&self, target: TargetHash) -> Vec<&Arc<Endpoint>> {
+        if self.all.len() <= MIN_CANDIDATE_POOL {
             return self.all.iter().collect();
         }
         let weight = |group: usize| xxh3_64_with_seed(&group.to_le_bytes(), target);
         let mut ranked: Vec<_> = (0..self.groups.len()).collect();
-        let first = NEAR.div_ceil(GROUP) * 2;
+        let first = MIN_CANDIDATE_POOL.div_ceil(MEAN_GROUP_SIZE) * 2;
         if ranked.len() > first {
             ranked.select_nth_unstable_by_key(first, |g| Reverse(weight(*g)));
             ranked.truncate(first);
         }
         ranked.sort_by_cached_key(|g| Reverse(weight(*g)));
-        let mut near = Vec::new();
+        let mut candidates = Vec::new();
         for group in ranked {
-            near.extend(&self.groups[group]);
-            if near.len() >= NEAR {
+            candidates.extend(&self.groups[group]);
+            if candidates.len() >= MIN_CANDIDATE_POOL {
                 break;
             }
         }
-        near
+        candidates
     }
 }
 
-/// Endpoints of a group, on average.
-const GROUP: usize = 24;
-/// Endpoints among which a target has its candidates, at least.
-const NEAR: usize = 48;
+/// Average number of endpoints in a group.
+const MEAN_GROUP_SIZE: usize = 24;
+/// Least number of endpoints from which the candidates for a target are chosen.
+const MIN_CANDIDATE_POOL: usize = 48;
 
 impl Part {
-    /// Reads and indexes a chunk that another process passed on.
+    /// Decodes and indexes a chunk received from another process.
     pub fn from_message(hash: &str, message: Bytes) -> Result<Self, DecodeError> {
         Ok(Self::index(hash, &wire::Chunk::decode(message)?))
     }
 
     /// Indexes the chunk with content hash `hash`.
     pub fn index(hash: &str, chunk: &wire::Chunk) -> Self {
-        let mut names = Names::default();
+        let mut names = NameInterner::default();
         let adapters = chunk.adapters.iter().map(|a| index_adapter(a, &mut names));
         let mut adapters: Vec<_> = adapters.collect();
         adapters.sort_by(|a, b| a.name.cmp(&b.name));
@@ -362,7 +367,8 @@
     }
 }
 
-/// Returns the place among `count` chunks of what is named `name`.
+/// Returns the index of the chunk or group, out of `count`, that the name `name` belongs
+/// to.
 pub fn place(name: &str, count: usize) -> usize {
     (xxh3_64(name.as_bytes()) % count.max(1) as u64) as usize
 }
@@ -373,29 +379,29 @@
     digest.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Names that many adapters of a chunk share, each kept once.
+/// Interns names that many adapters of a chunk share.
 #[derive(Default)]
-struct Names(HashMap<String, Arc<str>>);
+struct NameInterner(HashMap<String, Arc<str>>);
 
-impl Names {
-    fn get(&mut self, name: &str) -> Arc<str> {
+impl NameInterner {
+    fn intern(&mut self, name: &str) -> Arc<str> {
         let known = self.0.entry(name.into()).or_insert_with(|| name.into());
         known.clone()
     }
 }
 
-fn index_adapter(adapter: &wire::Adapter, names: &mut Names) -> Adapter {
+fn index_adapter(adapter: &wire::Adapter, names: &mut NameInterner) -> Adapter {
     let versions = adapter.versions.iter().filter(|v| !v.retired);
     let versions = versions.map(|v| Version {
-        name: names.get(&v.name),
+        name: names.intern(&v.name),
         weights: v.weights.as_str().into(),
     });
     let versions = versions.collect();
     Adapter {
         name: adapter.name.as_str().into(),
-        base: names.get(&adapter.base),
+        base: names.intern(&adapter.base),
         not_repeatable: adapter.not_repeatable,
-        default_version: names.get(&adapter.default_version),
+        default_version: names.intern(&adapter.default_version),
         versions,
         groups: adapter.groups.clone().into(),
     }
@@ -436,8 +442,8 @@
     }
 }
 
-fn allowed(wanted: &[String], held: &[String]) -> bool {
-    wanted.is_empty() || wanted.iter().any(|group| held.contains(group))
+fn is_allowed(allowed: &[String], groups: &[String]) -> bool {
+    allowed.is_empty() || allowed.iter().any(|group| groups.contains(group))
 }
 
 fn unknown_name(kind: &str, name: &str) -> Refusal {
--- a/crates/larkspring-core/src/limits/account.rs
+++ b/crates/larkspring-core/src/limits/account.rs
@@ -1,4 +1,4 @@
-//! An entry's side of the limits: what it has reserved, and who waits for more.
+//! The reservations of an entry, and the requests that wait for units.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -6,64 +6,65 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::home::{Grant, Want};
-use super::{LimitTerms, Share};
+use super::{BucketParams, LimitTerms};
 use crate::fleet::routes::RoutingVersion;
 use crate::ids::{WorkspaceHash, WorkspaceId};
 use crate::workspaces::{Limit, Workspace};
 
-/// What an entry has reserved for each workspace; `T` names a request that waits.
+/// The units that an entry has reserved for each workspace; `T` identifies a waiting
+/// request.
 #[derive(Debug)]
 pub struct Accounts<T> {
     terms: LimitTerms,
-    accounts: HashMap<WorkspaceHash, Account<T>>,
+    workspaces: HashMap<WorkspaceHash, WorkspaceState<T>>,
     entries: u32,
-    /// Asks so far.
-    asks: u64,
+    /// Number of requests for units so far.
+    requests: u64,
 }
 
-/// What a request may do.
+/// Decision on a request under its workspace's limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Verdict {
-    /// It is within the limit.
+    /// The request is within the limit.
     Admitted,
-    /// It is beyond the limit; its units will be there after this time.
+    /// The request is over the limit; units will be available after this time.
     Refused(Duration),
 }
 
 #[derive(Debug)]
-struct Account<T> {
+struct WorkspaceState<T> {
     name: WorkspaceId,
     limit: Limit,
-    share: Share,
+    params: BucketParams,
     version: RoutingVersion,
-    reserved: VecDeque<Reserved>,
+    reservations: VecDeque<Reservation>,
     waiting: VecDeque<Waiting<T>>,
-    /// Units that requests used before the home granted them.
+    /// Units that requests used before the bucket owner granted them.
     overdraft: f64,
-    /// Units of the present home that lapsed and are to be returned to it.
-    lapsed: f64,
-    /// Changes of home so far.
-    home: u64,
-    /// The ask that is out.
-    asked: Option<Asked>,
-    /// Until when the home has nothing for this workspace.
-    dry_until: Option<Instant>,
-    demand: Flow,
-    used_at: Instant,
+    /// Expired units of the present bucket owner, to be returned with the next request.
+    expired: f64,
+    /// Number of changes of the bucket owner so far.
+    owner_changes: u64,
+    /// The outstanding request for units.
+    outstanding: Option<OutstandingRequest>,
+    /// Until when the bucket owner has no units for this workspace.
+    empty_until: Option<Instant>,
+    demand: SmoothedRate,
+    last_used: Instant,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Asked {
+struct OutstandingRequest {
     number: u64,
     at: Instant,
 }
 
 #[derive(Debug)]
-struct Reserved {
+struct Reservation {
     units: f64,
     until: Instant,
-    /// Which home granted it, by the number of changes before.
-    home: u64,
+    /// The bucket owner that granted the units, as the number of changes before it.
+    owner_changes: u64,
 }
 
 #[derive(Debug)]
@@ -73,54 +74,58 @@
     request: T,
 }
 
-/// Units a second, smoothed over [`DEMAND`].
+/// Units a second, smoothed over [`DEMAND_TIME_CONSTANT`].
 #[derive(Debug, Clone, Copy)]
-struct Flow {
+struct SmoothedRate {
     per_sec: f64,
     at: Instant,
 }
 
-/// Time over which demand is smoothed: a burst of a second has to show in it.
-const DEMAND: Duration = Duration::from_millis(500);
-/// How far ahead of requests units are reserved. An ask goes out when half of it is used.
-const AHEAD: Duration = Duration::from_millis(400);
-/// Time for a home to answer: a few times the way between halls and a turn of a busy
-/// process. A home that takes longer may be frozen or cut off.
-pub const ANSWER: Duration = Duration::from_millis(100);
-/// Longest time that a request waits for an answer of homes before it is refused: most of
-/// the time in which a plain call can still be in time.
-pub const PATIENCE: Duration = Duration::from_millis(220);
-/// Least time for which a home that lacks units is not asked again: its bucket gathers them
-/// meanwhile, and a workspace far over its limit costs 20 asks a second and entry.
-const DRY: Duration = Duration::from_millis(50);
-/// Shortest and longest time after which a refused caller is asked back.
-const BACK_SOONEST: Duration = Duration::from_millis(100);
-const BACK_LATEST: Duration = Duration::from_secs(5);
-/// Time after which an account that nobody uses is forgotten.
-const UNUSED: Duration = Duration::from_secs(30);
+/// Time constant of the smoothed demand: short enough for a burst of a second to show.
+const DEMAND_TIME_CONSTANT: Duration = Duration::from_millis(500);
+/// How far ahead of requests units are reserved. More units are requested when half of
+/// them are used.
+const RESERVE_AHEAD: Duration = Duration::from_millis(400);
+/// Time for a bucket owner to answer: a few times the latency between halls plus the
+/// response time of a busy process. A bucket owner that takes longer may be frozen or
+/// unreachable.
+pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(100);
+/// Longest time that a request waits for answers of bucket owners before it is refused:
+/// most of the time in which a plain call can still be in time.
+pub const MAX_REQUEST_WAIT: Duration = Duration::from_millis(220);
+/// Shortest time until a bucket owner without units gets the next request: its bucket
+/// refills meanwhile, and a workspace far over its limit costs at most 20 requests for
+/// units a second and entry.
+const EMPTY_BUCKET_BACKOFF: Duration = Duration::from_millis(50);
+/// Bounds of the time after which a refused caller is asked to retry.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
+/// Time after which the state of an unused workspace is dropped.
+const IDLE_RETENTION: Duration = Duration::from_secs(30);
 
 impl<T> Accounts<T> {
-    /// Creates accounts with nothing reserved.
+    /// Creates the state without any reservation.
     pub fn new(terms: LimitTerms) -> Self {
-        Self { terms, accounts: HashMap::new(), entries: 1, asks: 0 }
+        Self { terms, workspaces: HashMap::new(), entries: 1, requests: 0 }
     }
 
-    /// Tells that another home is asked from now on: what the former one granted stays
-    /// usable and is returned to nobody.
+    /// Records that another bucket owner is used from now on. Units that the former one
+    /// granted stay usable and are not returned when they expire.
     pub fn home_changed(&mut self) {
-        for account in self.accounts.values_mut() {
-            account.home += 1;
-            account.lapsed = 0.0;
+        for state in self.workspaces.values_mut() {
+            state.owner_changes += 1;
+            state.expired = 0.0;
         }
     }
 
-    /// Tells how many entries there are, which share what may be used without an answer.
+    /// Sets the number of entries that share the units usable before a grant.
     pub fn set_entries(&mut self, entries: u32) {
         self.entries = entries.max(1);
     }
 
-    /// Takes a request of `cost` units in; `None` if it has to wait for an answer of the
-    /// home, which then tells its verdict.
+    /// Decides on a request of `cost` units, or returns `None` if the request has to wait
+    /// for an answer of the bucket owner. [`Self::granted`] or [`Self::unanswered`] then
+    /// returns the verdict.
     pub fn enter(
         &mut self,
         now: Instant,
@@ -131,197 +136,210 @@
     ) -> Option<Verdict> {
         let Some(limit) = workspace.limit else { return Some(Verdict::Admitted) };
         let entries = self.entries;
-        let account = self.account(now, workspace, limit, version);
-        account.used_at = now;
-        account.demand.add(now, cost);
-        let waits = !account.waiting.is_empty();
-        if !waits && (account.take(now, cost) || account.overdraw(now, cost, entries)) {
+        let state = self.workspace_state(now, workspace, limit, version);
+        state.last_used = now;
+        state.demand.add(now, cost);
+        let waits = !state.waiting.is_empty();
+        if !waits && (state.take(now, cost) || state.overdraw(now, cost, entries)) {
             return Some(Verdict::Admitted);
         }
-        if let Some(until) = account.dry_until.filter(|until| *until > now) {
-            return Some(account.refuse(until - now));
+        if let Some(until) = state.empty_until.filter(|until| *until > now) {
+            return Some(state.refuse(until - now));
         }
-        account.waiting.push_back(Waiting { cost, since: now, request });
+        state.waiting.push_back(Waiting { cost, since: now, request });
         None
     }
 
-    /// Gives back what a request did not use, since it has not run.
+    /// Returns the units of a request that has not run to the reservations.
     pub fn give_back(&mut self, now: Instant, workspace: &Workspace, cost: f64) {
-        let Some(account) = self.accounts.get_mut(&hash(&workspace.name)) else { return };
-        account.reserve(now, cost);
+        let Some(state) = self.workspaces.get_mut(&hash(&workspace.name)) else { return };
+        state.add_reservation(now, cost);
     }
 
-    /// What is to be asked of the home now; each is then out until [`Self::granted`] or
-    /// [`Self::unanswered`]. With a beat, which is sent in any case, goes what can wait.
-    pub fn wants(&mut self, now: Instant, beats: bool) -> Vec<Want> {
-        self.accounts.retain(|_, account| account.is_used(now));
+    /// Returns the units to request from the bucket owner now. Each is then outstanding
+    /// until [`Self::granted`] or [`Self::unanswered`]. With `is_poll`, for the periodic
+    /// request that is sent in any case, the result also holds demand that is not urgent.
+    pub fn wants(&mut self, now: Instant, is_poll: bool) -> Vec<Want> {
+        self.workspaces.retain(|_, state| state.is_active(now));
         let entries = self.entries;
-        let each = self.accounts.iter_mut();
-        let asking = each.filter(|(_, account)| beats || account.is_due(now, entries));
-        let asks = &mut self.asks;
-        let want = |(hash, account): (&WorkspaceHash, &mut Account<T>)| {
-            *asks += 1;
-            account.want(now, *hash, *asks)
+        let each = self.workspaces.iter_mut();
+        let pending = each.filter(|(_, state)| is_poll || state.is_due(now, entries));
+        let requests = &mut self.requests;
+        let want = |(hash, state): (&WorkspaceHash, &mut WorkspaceState<T>)| {
+            *requests += 1;
+            state.request_units(now, *hash, *requests)
         };
-        asking.filter_map(want).collect()
+        pending.filter_map(want).collect()
     }
 
-    /// Takes in what the home granted; returns the requests that it decides.
+    /// Applies grants of the bucket owner, and returns the requests that are decided by
+    /// them.
     pub fn granted(&mut self, now: Instant, grants: &[Grant]) -> Vec<(T, Verdict)> {
         let mut decided = Vec::new();
         for grant in grants {
-            let Some(account) = self.accounts.get_mut(&grant.workspace) else { continue };
-            // A home that stood still may answer an ask that another one has answered since.
-            if account.asked.is_none_or(|asked| asked.number != grant.ask) {
+            let Some(state) = self.workspaces.get_mut(&grant.workspace) else { continue };
+            // A bucket owner that was paused may answer a request that another bucket
+            // owner has answered since.
+            if state.outstanding.is_none_or(|sent| sent.number != grant.ask) {
                 continue;
             }
-            account.asked = None;
-            let settled = grant.units.min(account.overdraft);
-            account.overdraft -= settled;
-            account.reserve(now, grant.units - settled);
-            account.admit_waiting(now, &mut decided);
+            state.outstanding = None;
+            let settled = grant.units.min(state.overdraft);
+            state.overdraft -= settled;
+            state.add_reservation(now, grant.units - settled);
+            state.admit_waiting(now, &mut decided);
             if !grant.wait.is_zero() {
-                let wait = grant.wait.max(DRY);
-                account.dry_until = Some(now + wait);
-                account.refuse_waiting(wait, &mut decided);
+                let wait = grant.wait.max(EMPTY_BUCKET_BACKOFF);
+                state.empty_until = Some(now + wait);
+                state.refuse_waiting(wait, &mut decided);
             }
         }
         decided
     }
 
-    /// Gives up asks that went unanswered, and refuses what waited too long. Returns when the
-    /// newest such ask was made.
+    /// Drops requests for units that were not answered in time, and refuses requests that
+    /// have waited for too long. Returns when the newest of the dropped ones was made.
     pub fn unanswered(
         &mut self,
         now: Instant,
         decided: &mut Vec<(T, Verdict)>,
     ) -> Option<Instant> {
-        let each = self.accounts.values_mut();
-        each.filter_map(|account| account.unanswered(now, decided)).max()
+        let each = self.workspaces.values_mut();
+        each.filter_map(|state| state.unanswered(now, decided)).max()
     }
 
-    /// Whether the home is to be asked for a workspace before the next beat.
+    /// Whether units for a workspace are to be requested before the next poll.
     pub fn is_due(&self, now: Instant, workspace: &Workspace) -> bool {
-        let account = self.accounts.get(&hash(&workspace.name));
-        account.is_some_and(|account| account.is_due(now, self.entries))
+        let state = self.workspaces.get(&hash(&workspace.name));
+        state.is_some_and(|state| state.is_due(now, self.entries))
     }
 
-    /// When [`Self::unanswered`] has something to decide next.
+    /// The next time at which [`Self::unanswered`] has to be called.
     pub fn next_at(&self) -> Option<Instant> {
-        let due = |account: &Account<T>| account.asked.map(|asked| asked.at + ANSWER);
-        self.accounts.values().filter_map(due).min()
+        let expiry = |state: &WorkspaceState<T>| {
+            state.outstanding.map(|sent| sent.at + ANSWER_TIMEOUT)
+        };
+        self.workspaces.values().filter_map(expiry).min()
     }
 
-    /// What is reserved for each workspace, by name.
+    /// Returns the units reserved for each workspace, by name.
     pub fn reserved(&self, now: Instant) -> Vec<(WorkspaceId, f64)> {
-        self.accounts.values().map(|a| (a.name.clone(), a.held(now))).collect()
+        self.workspaces.values().map(|a| (a.name.clone(), a.available(now))).collect()
     }
 
-    fn account(
+    fn workspace_state(
         &mut self,
         now: Instant,
         workspace: &Workspace,
         limit: Limit,
         version: RoutingVersion,
-    ) -> &mut Account<T> {
-        let share = self.terms.share(&limit);
+    ) -> &mut WorkspaceState<T> {
+        let params = self.terms.bucket_params(&limit);
         let hash = hash(&workspace.name);
-        let account = self.accounts.entry(hash).or_insert_with(|| Account {
+        let state = self.workspaces.entry(hash).or_insert_with(|| WorkspaceState {
             name: workspace.name.clone(),
             limit,
-            share,
+            params,
             version,
-            reserved: VecDeque::new(),
+            reservations: VecDeque::new(),
             waiting: VecDeque::new(),
             overdraft: 0.0,
-            lapsed: 0.0,
-            home: 0,
-            asked: None,
-            dry_until: None,
-            demand: Flow::new(now),
-            used_at: now,
+            expired: 0.0,
+            owner_changes: 0,
+            outstanding: None,
+            empty_until: None,
+            demand: SmoothedRate::new(now),
+            last_used: now,
         });
-        if version > account.version {
-            account.limit = limit;
-            account.share = share;
-            account.version = version;
+        if version > state.version {
+            state.limit = limit;
+            state.params = params;
+            state.version = version;
         }
-        account
+        state
     }
 }
 
-impl<T> Account<T> {
-    /// Takes units from what is reserved, the oldest first.
+impl<T> WorkspaceState<T> {
+    /// Takes units from the reservations, the oldest first; takes none if they do not
+    /// suffice.
     fn take(&mut self, now: Instant, cost: f64) -> bool {
-        self.lapse(now);
-        let all: f64 = self.reserved.iter().map(|r| r.units).sum();
+        self.drop_expired(now);
+        let all: f64 = self.reservations.iter().map(|r| r.units).sum();
         if all < cost {
             return false;
         }
         let mut left = cost;
-        while let Some(oldest) = self.reserved.front_mut() {
+        while let Some(oldest) = self.reservations.front_mut() {
             if oldest.units > left {
                 oldest.units -= left;
                 break;
             }
             left -= oldest.units;
-            self.reserved.pop_front();
+            self.reservations.pop_front();
         }
         true
     }
 
-    fn reserve(&mut self, now: Instant, units: f64) {
+    fn add_reservation(&mut self, now: Instant, units: f64) {
         if units > 0.0 {
-            let (until, home) = (now + self.share.life, self.home);
-            self.reserved.push_back(Reserved { units, until, home });
+            let (until, owner_changes) =
+                (now + self.params.reservation_lifetime, self.owner_changes);
+            self.reservations.push_back(Reservation { units, until, owner_changes });
         }
     }
 
-    /// Drops what was not used in time.
-    fn lapse(&mut self, now: Instant) {
-        while let Some(oldest) = self.reserved.front().filter(|r| r.until < now) {
-            if oldest.home == self.home {
-                self.lapsed += oldest.units;
+    /// Drops expired reservations.
+    fn drop_expired(&mut self, now: Instant) {
+        while let Some(oldest) = self.reservations.front().filter(|r| r.until < now) {
+            if oldest.owner_changes == self.owner_changes {
+                self.expired += oldest.units;
             }
-            self.reserved.pop_front();
+            self.reservations.pop_front();
         }
     }
 
-    /// Uses units that the home has not granted yet, as far as this entry's part of the
-    /// slack goes: a request then neither waits for an answer nor costs an ask of its own.
+    /// Uses units that the bucket owner has not granted yet, up to this entry's part of
+    /// the slack. The request then neither waits for an answer nor costs a message of its
+    /// own.
     fn overdraw(&mut self, now: Instant, cost: f64, entries: u32) -> bool {
-        let dry = self.dry_until.is_some_and(|until| until > now);
+        let empty = self.empty_until.is_some_and(|until| until > now);
         let used = self.overdraft + cost;
-        if dry || used > self.share.alone / f64::from(entries) {
+        if empty || used > self.params.max_overdraft / f64::from(entries) {
             return false;
         }
         self.overdraft = used;
         true
     }
 
-    /// Whether the home is to be asked before the next beat.
+    /// Whether units are to be requested before the next poll.
     fn is_due(&self, now: Instant, entries: u32) -> bool {
-        let half = self.share.alone / f64::from(entries) / 2.0;
-        let low = self.overdraft > half && self.ahead(now) > 0.0;
-        self.asked.is_none() && (low || !self.waiting.is_empty())
+        let half = self.params.max_overdraft / f64::from(entries) / 2.0;
+        let low = self.overdraft > half && self.units_to_reserve(now) > 0.0;
+        self.outstanding.is_none() && (low || !self.waiting.is_empty())
     }
 
-    fn want(&mut self, now: Instant, workspace: WorkspaceHash, ask: u64) -> Option<Want> {
-        if self.asked.is_some() {
+    fn request_units(
+        &mut self,
+        now: Instant,
+        workspace: WorkspaceHash,
+        ask: u64,
+    ) -> Option<Want> {
+        if self.outstanding.is_some() {
             return None;
         }
-        self.lapse(now);
-        let held = self.held(now);
+        self.drop_expired(now);
+        let available = self.available(now);
         let waiting: f64 = self.waiting.iter().map(|w| w.cost).sum();
-        let need = (waiting - held).max(0.0);
-        let first = self.waiting.front().map_or(0.0, |w| (w.cost - held).max(0.0));
-        let ahead = self.ahead(now);
+        let need = (waiting - available).max(0.0);
+        let first = self.waiting.front().map_or(0.0, |w| (w.cost - available).max(0.0));
+        let ahead = self.units_to_reserve(now);
         let debt = self.overdraft;
-        if debt + need + ahead + self.lapsed == 0.0 {
+        if debt + need + ahead + self.expired == 0.0 {
             return None;
         }
-        self.asked = Some(Asked { number: ask, at: now });
-        let returned = std::mem::take(&mut self.lapsed);
+        self.outstanding = Some(OutstandingRequest { number: ask, at: now });
+        let returned = std::mem::take(&mut self.expired);
         let Limit { per_sec, burst, .. } = self.limit;
         Some(Want {
             workspace,
@@ -337,25 +355,27 @@
         })
     }
 
-    /// What is reserved and has not lapsed.
-    fn held(&self, now: Instant) -> f64 {
-        self.reserved.iter().filter(|r| r.until >= now).map(|r| r.units).sum()
+    /// Returns the reserved units that have not expired.
+    fn available(&self, now: Instant) -> f64 {
+        self.reservations.iter().filter(|r| r.until >= now).map(|r| r.units).sum()
     }
 
-    /// What should be reserved ahead of requests; zero while over half of it is there.
-    fn ahead(&self, now: Instant) -> f64 {
-        if self.dry_until.is_some_and(|until| until > now) {
+    /// Returns the units to reserve ahead of requests; zero while at least half of them
+    /// are reserved.
+    fn units_to_reserve(&self, now: Instant) -> f64 {
+        if self.empty_until.is_some_and(|until| until > now) {
             return 0.0;
         }
-        let ahead = AHEAD.min(self.share.life).as_secs_f64() * self.demand.at(now);
-        let held = self.held(now);
-        if held * 2.0 >= ahead {
+        let ahead = RESERVE_AHEAD.min(self.params.reservation_lifetime).as_secs_f64()
+            * self.demand.at(now);
+        let available = self.available(now);
+        if available * 2.0 >= ahead {
             return 0.0;
         }
-        ahead - held
+        ahead - available
     }
 
-    /// Admits those that wait, in their order, as far as what is reserved goes.
+    /// Admits waiting requests in their order, as far as the reservations suffice.
     fn admit_waiting(&mut self, now: Instant, decided: &mut Vec<(T, Verdict)>) {
         while let Some(cost) = self.waiting.front().map(|w| w.cost) {
             if !self.take(now, cost) {
@@ -374,12 +394,12 @@
         }
     }
 
-    /// Refuses a request until the home has units again.
+    /// Refuses a request until the bucket owner has units again.
     ///
-    /// While a workspace asks for more than its limit, a caller that comes back sooner is let
-    /// in as often as one that comes later, and can still be answered in time.
+    /// While a workspace is over its limit, a caller that retries sooner is admitted as
+    /// often as a caller that retries later, and can still be answered in time.
     fn refuse(&self, wait: Duration) -> Verdict {
-        Verdict::Refused(wait.clamp(BACK_SOONEST, BACK_LATEST))
+        Verdict::Refused(wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER))
     }
 
     fn unanswered(
@@ -387,40 +407,44 @@
         now: Instant,
         decided: &mut Vec<(T, Verdict)>,
     ) -> Option<Instant> {
-        let late = |at: Instant, most| now.saturating_duration_since(at) >= most;
-        let asked = self.asked.filter(|asked| late(asked.at, ANSWER))?;
-        self.asked = None;
-        while self.waiting.front().is_some_and(|next| late(next.since, PATIENCE)) {
+        let is_late = |at: Instant, most| now.saturating_duration_since(at) >= most;
+        let sent = self.outstanding.filter(|sent| is_late(sent.at, ANSWER_TIMEOUT))?;
+        self.outstanding = None;
+        while self
+            .waiting
+            .front()
+            .is_some_and(|next| is_late(next.since, MAX_REQUEST_WAIT))
+        {
             let Some(next) = self.waiting.pop_front() else { break };
-            let verdict = self.refuse(BACK_SOONEST);
+            let verdict = self.refuse(MIN_RETRY_AFTER);
             decided.push((next.request, verdict));
         }
-        Some(asked.at)
+        Some(sent.at)
     }
 
-    fn is_used(&self, now: Instant) -> bool {
-        let idle = now.saturating_duration_since(self.used_at);
-        !self.waiting.is_empty() || idle < UNUSED
+    fn is_active(&self, now: Instant) -> bool {
+        let idle = now.saturating_duration_since(self.last_used);
+        !self.waiting.is_empty() || idle < IDLE_RETENTION
     }
 }
 
-impl Flow {
+impl SmoothedRate {
     fn new(now: Instant) -> Self {
         Self { per_sec: 0.0, at: now }
     }
 
     fn add(&mut self, now: Instant, units: f64) {
-        self.per_sec = self.at(now) + units / DEMAND.as_secs_f64();
+        self.per_sec = self.at(now) + units / DEMAND_TIME_CONSTANT.as_secs_f64();
         self.at = now;
     }
 
     fn at(&self, now: Instant) -> f64 {
         let since = now.saturating_duration_since(self.at);
-        self.per_sec * (-since.as_secs_f64() / DEMAND.as_secs_f64()).exp()
+        self.per_sec * (-since.as_secs_f64() / DEMAND_TIME_CONSTANT.as_secs_f64()).exp()
     }
 }
 
-/// Returns the hash that stands for a workspace between entries and homes.
+/// Returns the hash that identifies a workspace between entries and bucket owners.
 fn hash(name: &str) -> WorkspaceHash {
     xxh3_64(name.as_bytes())
 }
--- a/crates/larkspring-core/src/limits/home.rs
+++ b/crates/larkspring-core/src/limits/home.rs
@@ -1,152 +1,157 @@
-//! The home of limits: the buckets of workspaces, and what entries are granted.
+//! The bucket owner: the buckets of workspaces, and the units granted to entries.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use super::presence::Told;
-use super::{LimitTerms, Share};
+use super::{BucketParams, LimitTerms};
 use crate::fleet::routes::RoutingVersion;
 use crate::ids::WorkspaceHash;
 use crate::workspaces::{Limit, Unit};
 
-/// Buckets of the workspaces whose entries ask this process.
+/// Buckets of the workspaces for which entries request units from this process.
 #[derive(Debug)]
 pub struct Home {
     terms: LimitTerms,
     buckets: HashMap<WorkspaceHash, Bucket>,
-    /// What entries told since the buckets were last forgotten.
-    told: Sum,
-    /// When the last ask came.
-    heard: Option<Instant>,
-    /// Most entries that were counted lately, and when.
-    entries: (usize, Option<Instant>),
+    /// Serving time reported since the buckets were last cleared.
+    reported: ReportedTime,
+    /// When the last request for units arrived.
+    last_request: Option<Instant>,
+    /// The highest number of entries within [`ENTRY_COUNT_RETENTION`], and when it was
+    /// counted.
+    max_entries: (usize, Option<Instant>),
 }
 
-/// What an entry asks a home.
+/// A request for units from an entry to a bucket owner.
 #[derive(Debug, Clone, Copy)]
 pub struct Ask<'a> {
-    /// The time before it.
+    /// The serving time since the entry's previous request.
     pub told: Told,
-    /// Entries that share the limits, as far as the entry and the home know.
+    /// Number of entries that share the limits, as far as the entry and the bucket owner
+    /// know.
     pub entries: usize,
-    /// What it wants.
+    /// The units requested for each workspace.
     pub wants: &'a [Want],
 }
 
-/// What an entry asks for one workspace.
+/// Units that an entry requests for one workspace.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Want {
     /// The workspace.
     pub workspace: WorkspaceHash,
-    /// Number of the ask, which its grant repeats.
+    /// Sequence number, which the grant repeats.
     pub ask: u64,
-    /// What its requests used before it was granted.
+    /// Units that were used before they were granted.
     pub debt: f64,
-    /// What its requests that wait need.
+    /// Units that the waiting requests need.
     pub need: f64,
-    /// What the first of them needs; a request larger than the burst is let in by a full
-    /// bucket, which it leaves in debt.
+    /// Units that the first waiting request needs; a request larger than the burst is
+    /// admitted when the bucket is full, and leaves the bucket in debt.
     pub first: f64,
-    /// What this home granted and the entry did not use in time.
+    /// Units that this bucket owner granted and that expired unused.
     pub returned: f64,
-    /// What is reserved ahead of requests.
+    /// Units to reserve ahead of requests.
     pub ahead: f64,
-    /// Units a second that the workspace may use.
+    /// Rate of the limit, in units a second.
     pub per_sec: f64,
-    /// Units on top at once.
+    /// Burst of the limit, in units.
     pub burst: f64,
-    /// Version of the routing that declares this limit.
+    /// Version of the routing that declares the limit.
     pub version: RoutingVersion,
 }
 
-/// What a home grants of a want.
+/// A bucket owner's answer to the units requested for one workspace.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Grant {
     /// The workspace.
     pub workspace: WorkspaceHash,
-    /// Number of the ask that it answers.
+    /// Sequence number of the request that this grant answers.
     pub ask: u64,
     /// Units that the entry may use.
     pub units: f64,
-    /// Time until the rest of the need is there; zero if all was granted.
+    /// Time until the bucket has the remaining units; zero if all were granted.
     pub wait: Duration,
 }
 
 #[derive(Debug)]
 struct Bucket {
     level: f64,
-    /// What was told when the level was last brought up to date.
-    seen: Sum,
+    /// The reported serving time at the last update of the level.
+    applied: ReportedTime,
     per_sec: f64,
     burst: f64,
     version: RoutingVersion,
 }
 
-/// Sum of what entries told, each as a part of all entries.
+/// Serving time that entries reported, each weighted by one over the number of entries.
 #[derive(Debug, Clone, Copy, Default)]
-struct Sum {
-    /// Seconds: one for each second in which all entries ask.
+struct ReportedTime {
+    /// Seconds: one for each second in which all entries request units here.
     time: f64,
-    /// Entries that joined: one when all have.
+    /// The fraction of entries that changed to this bucket owner: 1 when all have.
     joined: f64,
 }
 
-/// Time without any ask after which a process is no home any more, and forgets its buckets.
-const LAPSE: Duration = Duration::from_millis(1000);
-/// For how long the most entries that were counted stand for all: longer than cuts between
-/// VMs usually last, so that a home which few entries reach does not take them for all.
-const COUNT_KEPT: Duration = Duration::from_secs(30);
-/// Part of a full bucket below which nothing is reserved ahead any more: what one entry
-/// keeps in reserve then lacks at another one.
-const SCARCE_PART: f64 = 0.3;
-/// Workspaces that are remembered; full buckets go first.
+/// Time without any request after which a process is no bucket owner any more and clears
+/// its buckets.
+const OWNERSHIP_TIMEOUT: Duration = Duration::from_millis(1000);
+/// How long the highest count of entries is used: longer than network partitions between
+/// VMs usually last, so that a bucket owner which only a few entries reach does not give
+/// them the shares of all.
+const ENTRY_COUNT_RETENTION: Duration = Duration::from_secs(30);
+/// Fraction of a full bucket below which no units are granted ahead of requests: units
+/// that an entry keeps in reserve are then missing at another entry.
+const MIN_RESERVE_FRACTION: f64 = 0.3;
+/// Number of buckets from which on full buckets are evicted.
 const MAX_BUCKETS: usize = 16 * 1024;
-/// Longest wait that a home tells, in seconds.
-const MAX_WAIT: f64 = 10.0;
+/// Longest wait in a grant, in seconds.
+const MAX_WAIT_SECS: f64 = 10.0;
 
 impl Home {
-    /// Creates a home that was asked nothing.
+    /// Creates a bucket owner without buckets.
     pub fn new(terms: LimitTerms) -> Self {
         Self {
             terms,
             buckets: HashMap::new(),
-            told: Sum::default(),
-            heard: None,
-            entries: (0, None),
+            reported: ReportedTime::default(),
+            last_request: None,
+            max_entries: (0, None),
         }
     }
 
-    /// Answers an entry.
+    /// Answers an entry's request for units.
     pub fn ask(&mut self, now: Instant, ask: &Ask<'_>) -> Vec<Grant> {
-        self.hear(now, ask);
+        self.record_serving_time(now, ask);
         ask.wants.iter().map(|want| self.grant(want)).collect()
     }
 
-    fn hear(&mut self, now: Instant, ask: &Ask<'_>) {
+    fn record_serving_time(&mut self, now: Instant, ask: &Ask<'_>) {
         let since = |at| now.saturating_duration_since(at);
-        if self.heard.is_none_or(|at| since(at) > LAPSE) {
+        if self.last_request.is_none_or(|at| since(at) > OWNERSHIP_TIMEOUT) {
             self.buckets.clear();
-            self.told = Sum::default();
+            self.reported = ReportedTime::default();
         }
-        self.heard = Some(now);
-        let (most, at) = self.entries;
-        if ask.entries >= most || at.is_none_or(|at| since(at) > COUNT_KEPT) {
-            self.entries = (ask.entries, Some(now));
+        self.last_request = Some(now);
+        let (most, at) = self.max_entries;
+        if ask.entries >= most || at.is_none_or(|at| since(at) > ENTRY_COUNT_RETENTION) {
+            self.max_entries = (ask.entries, Some(now));
         }
-        let part = 1.0 / self.entries.0.max(1) as f64;
-        self.told.time += part * ask.told.time.as_secs_f64();
-        self.told.joined += if ask.told.joined { part } else { 0.0 };
+        let part = 1.0 / self.max_entries.0.max(1) as f64;
+        self.reported.time += part * ask.told.time.as_secs_f64();
+        self.reported.joined += if ask.told.joined { part } else { 0.0 };
     }
 
     fn grant(&mut self, want: &Want) -> Grant {
-        let (terms, told) = (self.terms, self.told);
+        let (terms, reported) = (self.terms, self.reported);
         if self.buckets.len() >= MAX_BUCKETS {
             self.buckets.retain(|_, bucket| bucket.level < bucket.per_sec);
         }
         let bucket = self.buckets.entry(want.workspace).or_insert_with(|| Bucket {
-            // One that nobody asked for has filled since entries ask this home.
+            // A workspace without requests so far gets a bucket that has filled since
+            // entries changed to this bucket owner.
             level: 0.0,
-            seen: Sum { time: 0.0, joined: told.joined },
+            applied: ReportedTime { time: 0.0, joined: reported.joined },
             per_sec: want.per_sec,
             burst: want.burst,
             version: want.version,
@@ -156,13 +161,14 @@
             bucket.burst = want.burst;
             bucket.version = want.version;
         }
-        let share = bucket.share(&terms);
-        bucket.fill(told, &share);
-        let level = (bucket.level + want.returned).min(share.most);
-        let units = units(level, &share, want);
+        let params = bucket.params(&terms);
+        bucket.refill(reported, &params);
+        let level = (bucket.level + want.returned).min(params.capacity);
+        let units = granted_units(level, &params, want);
         bucket.level = level - units;
-        let lacks = (want.debt + want.need - units).max(0.0);
-        let wait = (lacks / share.per_sec.max(f64::MIN_POSITIVE)).min(MAX_WAIT);
+        let missing = (want.debt + want.need - units).max(0.0);
+        let wait =
+            (missing / params.refill_per_sec.max(f64::MIN_POSITIVE)).min(MAX_WAIT_SECS);
         Grant {
             workspace: want.workspace,
             ask: want.ask,
@@ -173,37 +179,39 @@
 }
 
 impl Bucket {
-    fn share(&self, terms: &LimitTerms) -> Share {
+    fn params(&self, terms: &LimitTerms) -> BucketParams {
         let (per_sec, burst) = (self.per_sec, self.burst);
-        terms.share(&Limit { per_sec, burst, unit: Unit::Requests })
+        terms.bucket_params(&Limit { per_sec, burst, unit: Unit::Requests })
     }
 
-    /// Adds what entries told since the last time. An entry that asked another home
-    /// meanwhile may have used there what it brought here before, so its part goes.
-    fn fill(&mut self, told: Sum, share: &Share) {
-        let left = (told.joined - self.seen.joined) * share.most;
+    /// Refills the bucket by the serving time reported since the last call. An entry that
+    /// used another bucket owner meanwhile may have spent there the units that it added
+    /// here before, so its part of the level is removed.
+    fn refill(&mut self, reported: ReportedTime, params: &BucketParams) {
+        let removed = (reported.joined - self.applied.joined) * params.capacity;
         if self.level > 0.0 {
-            self.level = (self.level - left).max(0.0);
+            self.level = (self.level - removed).max(0.0);
         }
-        let gained = (told.time - self.seen.time) * share.per_sec;
-        self.level = (self.level + gained).min(share.most);
-        self.seen = told;
+        let gained = (reported.time - self.applied.time) * params.refill_per_sec;
+        self.level = (self.level + gained).min(params.capacity);
+        self.applied = reported;
     }
 }
 
-/// Units that a want gets of `level`, which may fall to the share's debt.
+/// Returns the units granted at `level`, which may fall below zero by the maximum debt.
 ///
-/// A request is let in while anything is there, whatever its size: if it had to find all of
-/// its units, long prompts would hardly ever pass where short ones take what comes.
-fn units(level: f64, share: &Share, want: &Want) -> f64 {
+/// A request is admitted while the level is above zero, whatever its size: if all of its
+/// units had to be there, long prompts would hardly ever be admitted while short prompts
+/// use up the units as they arrive.
+fn granted_units(level: f64, params: &BucketParams, want: &Want) -> f64 {
     let all = want.debt + want.need;
     if level >= all {
-        let spare = level - all - share.most * SCARCE_PART;
+        let spare = level - all - params.capacity * MIN_RESERVE_FRACTION;
         return all + want.ahead.min(spare.max(0.0));
     }
     let first = want.debt + want.first;
-    let passes = level > 0.0 && level + share.debt >= first;
-    let large = want.first > share.most && level >= share.most;
+    let passes = level > 0.0 && level + params.max_debt >= first;
+    let large = want.first > params.capacity && level >= params.capacity;
     if want.need > 0.0 && (passes || large) {
         return first.max(level);
     }
