--- a/crates/larkspring-cli/src/args.rs
+++ b/crates/larkspring-cli/src/args.rs
@@ -1,4 +1,4 @@
-//! Arguments of the command line.
+//! Definition of the command line.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -13,11 +13,11 @@
 
 /// A serving layer for very many LoRA adapters.
 ///
-/// Exit codes: 0 done, 1 refused or failed (one line for each fault), 2 wrong usage.
+/// Exit codes: 0 success, 1 refused or failed (one line per error), 2 wrong usage.
 #[derive(Debug, Parser)]
 #[command(name = "larkspring", version)]
 pub struct Cli {
-    /// What to do.
+    /// The command to run.
     #[command(subcommand)]
     pub command: Command,
 }
@@ -25,50 +25,52 @@
 /// The processes and operator commands.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Run the process that callers reach.
+    /// Run an entry: the process that receives callers' requests.
     Entry(ProcessArgs),
-    /// Run the process beside one endpoint.
+    /// Run an agent: the process beside one endpoint.
     Agent(ProcessArgs),
-    /// Run, on the users' platform, the process that callers reach.
+    /// Run an entry on the users' platform.
     PlatformEntry(PlatformEntryArgs),
-    /// Run, on the users' platform, the process beside one model engine.
+    /// Run an agent beside one model engine on the users' platform.
     PlatformAgent(PlatformArgs),
-    /// Print what log lines tell of one request, in order, with the beliefs behind it.
+    /// Print the log lines about one request by time, with the state changes before it.
     Explain(ExplainArgs),
-    /// Print where the time of all requests went, from log lines.
+    /// Print tables of latencies, refusals and adapter loads, computed from log lines.
     Summary(SummaryArgs),
-    /// List, lift or forbid requests that are refused since endpoints ended under them.
+    /// List, lift or add quarantined requests, refused because endpoints crashed
+    /// while they served them.
     Quarantine(QuarantineArgs),
-    /// Check settings and declarations without changing anything.
+    /// Validate settings and declarations without changing anything.
     Check(CheckArgs),
-    /// Ask an entry what a folder of declarations would change.
+    /// Ask an entry which changes a folder of declarations would make.
     Plan(PlanArgs),
-    /// Put a plan into effect; twice is the same as once.
+    /// Apply a plan; confirming it again has no further effect.
     Confirm(ConfirmArgs),
-    /// Print what is in force at entries.
+    /// Print the revision in force at each entry.
     Status(StatusArgs),
     /// Print the declared state, its revision and its last changes.
     Export(OperatorArgs),
-    /// Make a folder of declarations the declared state at once, past plan and entries.
+    /// Publish a folder of declarations as the declared state, without plan or entry.
     Apply(ApplyArgs),
     /// Run entries, agents and stand-ins in this process, on loopback.
     Dev(DevArgs),
-    /// Send an open-loop load to entries and print what came of it.
+    /// Send an open-loop load to entries and print outcomes and latencies.
     Load(LoadArgs),
-    /// Run a named scenario with each policy on the real path, and write a report.
+    /// Run a named scenario with each routing policy on a local deployment and write a
+    /// report.
     Experiment(ExperimentArgs),
-    /// Print what the choice of an endpoint costs, by adapters and by endpoints.
+    /// Measure the time to choose an endpoint, by numbers of adapters and endpoints.
     Decisions,
-    /// Run one stand-in of an outside system, for trials and tests.
+    /// Run one stand-in of an outside system, for experiments and tests.
     Standin(StandinArgs),
-    /// Print completions for a shell.
+    /// Print a completion script for a shell.
     Completions {
         /// The shell.
         shell: Shell,
     },
 }
 
-/// Arguments of a process.
+/// Arguments of `entry` and `agent`.
 #[derive(Debug, Args)]
 pub struct ProcessArgs {
     /// Settings in YAML.
@@ -76,13 +78,13 @@
     pub settings: PathBuf,
 }
 
-/// Arguments of a process on the users' platform, whose settings come from there.
+/// Arguments of a process on the users' platform, which provides its settings.
 #[derive(Debug, Args)]
 pub struct PlatformArgs {
-    /// Least important log lines that are written.
+    /// Minimum level of the log lines that are written.
     #[arg(long, value_name = "LEVEL", default_value = "info")]
     pub log_level: tracing::Level,
-    /// Mechanisms that are switched off, to measure what they are worth.
+    /// Mechanisms to disable, in order to measure their effect.
     #[arg(long, value_enum, value_name = "LIST", value_delimiter = ',')]
     pub without: Vec<MechanismArg>,
 }
@@ -93,25 +95,26 @@
     /// Address of the platform's store.
     #[arg(long, value_name = "ADDR")]
     pub store: SocketAddr,
-    /// What to do.
+    /// The operation.
     #[command(subcommand)]
     pub step: QuarantineStep,
 }
 
-/// What is done with refused requests.
+/// An operation on quarantined requests.
 #[derive(Debug, Subcommand)]
 pub enum QuarantineStep {
-    /// Print the content of each, as log lines write it.
+    /// Print the fingerprint of each quarantined request.
     List,
-    /// Serve one again; agents see it within half a minute.
+    /// Serve a request again; agents apply this within 30 s.
     Lift {
-        /// Its content, as log lines write it.
+        /// Fingerprint of the request, as in log lines: 16 hexadecimal digits.
         #[arg(value_parser = read_content)]
         content: ContentHash,
     },
-    /// Refuse one; agents that refuse any see it within half a minute, others as they start.
+    /// Refuse a request; agents that already refuse any apply this within 30 s, others
+    /// when they start.
     Forbid {
-        /// Its content, as log lines write it.
+        /// Fingerprint of the request, as in log lines: 16 hexadecimal digits.
         #[arg(value_parser = read_content)]
         content: ContentHash,
     },
@@ -120,24 +123,24 @@
 /// Arguments of an entry on the users' platform.
 #[derive(Debug, Args)]
 pub struct PlatformEntryArgs {
-    /// What every process takes.
+    /// Arguments of every process on the platform.
     #[command(flatten)]
     pub process: PlatformArgs,
-    /// How requests are placed; all but the first are baselines for measurements.
+    /// Policy for choosing an endpoint; all but `cost` are baselines for measurements.
     #[arg(long, value_enum, default_value_t = PlacementArg::Cost)]
     pub placement: PlacementArg,
 }
 
-/// A way to place requests.
+/// A policy for choosing the endpoint of a request.
 #[derive(Debug, Clone, Copy, ValueEnum)]
 pub enum PlacementArg {
-    /// By the least cost.
+    /// The endpoint with the lowest expected cost.
     Cost,
-    /// Any endpoint.
+    /// A random endpoint.
     Random,
     /// The endpoint with the fewest requests.
     Least,
-    /// The home of the adapter, whatever its load.
+    /// The home endpoint of the adapter, whatever its load.
     Home,
 }
 
@@ -152,30 +155,30 @@
     }
 }
 
-/// A mechanism of the decisions.
+/// A mechanism of routing or scheduling that can be disabled.
 #[derive(Debug, Clone, Copy, ValueEnum)]
 pub enum MechanismArg {
-    /// One home an adapter.
+    /// Sending an adapter that no engine holds to its home endpoint.
     HomeRank,
-    /// Knowing what engines held lately.
+    /// Expecting shorter loads where an engine held the adapter recently.
     Copies,
-    /// Adapters loaded ahead of requests.
+    /// Loading adapters ahead of requests.
     CopyAhead,
-    /// Unread prompts told by agents.
+    /// Prefill backlogs reported by agents.
     UnreadTold,
-    /// Fewer requests to endpoints that failed of late.
+    /// Sending fewer requests to endpoints that failed recently.
     Quality,
-    /// Waiting a while for an endpoint.
+    /// Letting a request wait for an endpoint before it is refused.
     Patience,
-    /// Loads in the order of what the answers are worth.
+    /// Loading adapters in the order of the utility of the answers.
     WorthOrder,
-    /// Answers to longer prompts worth more.
+    /// Higher utility for answers to longer prompts.
     WorthBySize,
-    /// Prompts read in the order of what each takes from the others.
+    /// Prefill in the order of the cost of each prompt to the other requests.
     ReadingOrder,
-    /// Fetches that wait while the weight store is full.
+    /// Holding fetches back at the agents while the weight store is saturated.
     PacedFetches,
-    /// Adapters in use kept from new requests.
+    /// Closing an adapter in use to new requests when others wait for its slot.
     Retiring,
 }
 
@@ -198,7 +201,7 @@
 }
 
 impl PlatformArgs {
-    /// The mechanisms that are switched off.
+    /// Returns the mechanisms to disable.
     pub fn without(&self) -> Without {
         self.without.iter().map(|arg| Mechanism::from(*arg)).collect()
     }
@@ -209,14 +212,14 @@
 pub struct ExplainArgs {
     /// Id of the request, as in its answer.
     pub id: String,
-    /// Log files of processes; standard input if none is named.
+    /// Log files of processes; standard input if omitted.
     pub logs: Vec<PathBuf>,
 }
 
 /// Arguments of `summary`.
 #[derive(Debug, Args)]
 pub struct SummaryArgs {
-    /// Log files of processes; standard input if none is named.
+    /// Log files of processes; standard input if omitted.
     pub logs: Vec<PathBuf>,
 }
 
@@ -239,7 +242,7 @@
     /// Address of the object API.
     #[arg(long, value_name = "ADDR")]
     pub objects: SocketAddr,
-    /// Id of the change; the same id is accepted just once.
+    /// Id of the change; a change with the same id is accepted only once.
     #[arg(long)]
     pub change: Option<String>,
 }
@@ -247,7 +250,7 @@
 /// Arguments of `dev`.
 #[derive(Debug, Args)]
 pub struct DevArgs {
-    /// Port of the first entry; 0 lets the system choose.
+    /// Port of the first entry; 0 for any free port.
     #[arg(long, default_value_t = 8080)]
     pub port: u16,
     /// Number of entries.
@@ -270,7 +273,7 @@
 /// Arguments of `standin`.
 #[derive(Debug, Args)]
 pub struct StandinArgs {
-    /// Which system.
+    /// The system to stand in for.
     pub kind: StandinKind,
     /// Address to listen on.
     #[arg(long, default_value = "127.0.0.1:0")]
@@ -301,13 +304,13 @@
     /// Address of an entry; may be given several times.
     #[arg(long, required = true)]
     pub entry: Vec<String>,
-    /// Address of an engine that is first sent the same load directly.
+    /// Address of an engine that first receives the same load directly, for comparison.
     #[arg(long)]
     pub engine: Option<String>,
     /// Key of the caller.
     #[arg(long, default_value = "dev-key")]
     pub key: String,
-    /// Requests a second.
+    /// Requests per second.
     #[arg(long, default_value_t = 20.0)]
     pub rate: f64,
     /// Length in seconds.
@@ -316,22 +319,22 @@
     /// Number of adapters, named `NAME-0000` and so on.
     #[arg(long, default_value_t = 100)]
     pub adapters: usize,
-    /// First part of the adapters' names.
+    /// Prefix of the adapters' names.
     #[arg(long, default_value = "tenant")]
     pub name: String,
-    /// Exponent of the skew.
+    /// Exponent of the Zipf distribution over adapters.
     #[arg(long, default_value_t = 1.0)]
     pub zipf: f64,
     /// Mean number of tokens of an answer.
     #[arg(long, default_value_t = 16)]
     pub tokens: u64,
-    /// Seed of everything drawn.
+    /// Seed of the random numbers.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Send each request as one that runs at most once, with a key of its own.
+    /// Send each request with its own idempotency key, to run at most once.
     #[arg(long)]
     pub keyed: bool,
-    /// Process whose processor time and memory are printed; may be given several times.
+    /// Id of a process whose CPU time and memory are printed; may be given several times.
     #[arg(long)]
     pub watch: Vec<u32>,
 }
@@ -341,22 +344,22 @@
 pub struct ExperimentArgs {
     /// The scenario.
     pub scenario: Scenario,
-    /// The deployment whose sizes are taken.
+    /// The deployment whose sizes are used.
     #[arg(long, default_value = "agency")]
     pub profile: Profile,
     /// Length in seconds for each policy.
     #[arg(long, default_value_t = 30.0)]
     pub seconds: f64,
-    /// Load as a multiple of the profile's usual one.
+    /// Load as a multiple of the profile's usual load.
     #[arg(long, default_value_t = 1.0)]
     pub load: f64,
-    /// Seed of everything drawn.
+    /// Seed of the random numbers.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Policies, of predicted, random, least and hash.
+    /// Routing policies: predicted, random, least or hash.
     #[arg(long, value_delimiter = ',', default_value = "predicted,random,least,hash")]
     pub policies: Vec<String>,
-    /// File for the figures as JSON.
+    /// File for the results as JSON.
     #[arg(long)]
     pub json: Option<PathBuf>,
     /// File for the report as HTML with plots.
@@ -364,43 +367,43 @@
     pub html: Option<PathBuf>,
 }
 
-/// Named scenarios.
+/// A load with its faults.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum Scenario {
-    /// The same popular adapters all the time.
+    /// The popularity of adapters stays the same.
     Steady,
-    /// Other adapters become popular half way.
+    /// Other adapters become popular in the course of the measurement.
     Shift,
-    /// All engines start with nothing loaded, under full load.
+    /// All engines start without adapters, under full load.
     ColdStart,
-    /// One adapter takes half of the requests from half way on.
+    /// One adapter receives half of the requests in the second half.
     Hot,
     /// Each engine restarts once.
     Restarts,
     /// One load in four fails.
     FailingLoads,
-    /// The weight store gives a third of its rate.
+    /// The weight store has a third of its usual rate.
     SlowStore,
-    /// Urgent requests among bulk at twice the usual load.
+    /// Urgent requests among others at twice the usual load.
     Priorities,
 }
 
-/// Deployments whose sizes an experiment takes.
+/// A deployment whose sizes an experiment uses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum Profile {
-    /// 18 engines, 9 loads a second, 4 at once; weighs load stalls.
+    /// 18 engines, 9 loads per second, 4 at a time; for the study of load stalls.
     Agency,
-    /// 12 engines, 4 loads a second, 3 at once; weighs batch efficiency.
+    /// 12 engines, 4 loads per second, 3 at a time; for the study of batch efficiency.
     Delta,
 }
 
-/// How an operator reaches an entry.
+/// Address and key for an entry's operator API.
 #[derive(Debug, Args)]
 pub struct OperatorArgs {
-    /// Address of an entry for operators.
+    /// Operator address of an entry.
     #[arg(long, value_name = "ADDR")]
     pub operator: String,
-    /// File with the operators' key.
+    /// File that contains the operators' key.
     #[arg(long, value_name = "FILE")]
     pub key_file: PathBuf,
 }
@@ -420,7 +423,7 @@
 pub struct ConfirmArgs {
     /// Id of the plan.
     pub plan: String,
-    /// The entry; any one will do.
+    /// The entry; any entry accepts the plan.
     #[command(flatten)]
     pub to: OperatorArgs,
 }
@@ -428,11 +431,11 @@
 /// Arguments of `status`.
 #[derive(Debug, Args)]
 pub struct StatusArgs {
-    /// Address of an entry for callers; may be given several times.
+    /// Caller address of an entry; may be given several times.
     #[arg(long, required = true)]
     pub entry: Vec<String>,
-    /// Address of the object API: makes a small change and prints how long it takes to be
-    /// in force, p50 and the longest, in milliseconds.
+    /// Address of the object API: makes a small change and prints the time until entries
+    /// apply it, p50 and maximum, in milliseconds.
     #[arg(long, value_name = "ADDR")]
     pub time_change: Option<String>,
 }
--- a/crates/larkspring-cli/src/decisions.rs
+++ b/crates/larkspring-cli/src/decisions.rs
@@ -1,4 +1,4 @@
-//! The command `decisions`: what the choice of an endpoint costs.
+//! The command `decisions`: measures the time to choose an endpoint.
 
 use std::hint::black_box;
 use std::sync::Arc;
@@ -24,10 +24,10 @@
 const KEY: &str = "key";
 const BASE: &str = "base";
 const CHOICES: usize = 20_000;
-/// Adapters that an endpoint holds, by its hint.
+/// Number of adapters that each endpoint holds, by its load report.
 const RESIDENT: u64 = 8;
 
-/// Prints the time of one choice, from the name of the model to the endpoint.
+/// Prints the mean time from the name of a model to the chosen endpoint, for each size.
 pub fn run() -> Result<(), AnyError> {
     for (adapters, endpoints) in SIZES {
         let built = Instant::now();
--- a/crates/larkspring-cli/src/deployment.rs
+++ b/crates/larkspring-cli/src/deployment.rs
@@ -1,4 +1,4 @@
-//! A whole deployment in one process, on loopback, on stand-ins.
+//! A deployment in one process, on loopback, with stand-ins for the outside systems.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,17 +20,17 @@
 
 use crate::AnyError;
 
-/// Key of the one caller.
+/// Key of the only caller.
 pub const DEV_KEY: &str = "dev-key";
 const BASE: &str = "base";
 const SERVICE: &str = "echo";
 const API_TIMEOUT: Duration = Duration::from_secs(5);
 const LOOPBACK: [u8; 4] = [127, 0, 0, 1];
 
-/// What a deployment consists of.
+/// Sizes and settings of a deployment.
 #[derive(Debug, Clone)]
 pub struct Shape {
-    /// Port of the first entry; 0 lets the system choose.
+    /// Port of the first entry; 0 for any free port.
     pub port: u16,
     /// Number of entries.
     pub entries: usize,
@@ -38,13 +38,13 @@
     pub engines: usize,
     /// Number of adapters.
     pub adapters: usize,
-    /// How each engine behaves.
+    /// Behaviour of each engine.
     pub engine: Faults,
-    /// How the weight store behaves.
+    /// Behaviour of the weight store.
     pub weights: WeightFaults,
-    /// More settings of each entry, as YAML on one line each.
+    /// Further settings of each entry, as indented lines of YAML.
     pub entry_settings: String,
-    /// More settings of each agent, as YAML on one line each.
+    /// Further settings of each agent, as indented lines of YAML.
     pub agent_settings: String,
     /// Whether spans are written to the log.
     pub spans: bool,
@@ -55,13 +55,13 @@
     /// The entries.
     pub entries: Vec<Entry>,
     agents: Vec<Agent>,
-    /// Stand-ins with their names.
+    /// Stand-ins with their kinds.
     pub standins: Vec<(&'static str, Served)>,
     _log: LogGuard,
 }
 
 impl Deployment {
-    /// Starts a deployment in the background.
+    /// Starts a deployment, which runs in the background, and publishes its declarations.
     pub async fn start(shape: &Shape) -> Result<Self, AnyError> {
         let any = SocketAddr::from((LOOPBACK, 0));
         let objects = start(any, Arc::new(Objects::default())).await?;
@@ -100,7 +100,7 @@
         Ok(dev)
     }
 
-    /// Stops entries and agents as planned.
+    /// Shuts down entries and agents gracefully.
     pub async fn stop(self) {
         for entry in self.entries {
             entry.stop().await;
--- a/crates/larkspring-cli/src/dev.rs
+++ b/crates/larkspring-cli/src/dev.rs
@@ -1,4 +1,4 @@
-//! The command `dev`: a whole deployment in this process, with a request to try.
+//! The command `dev`: runs a deployment in this process and prints an example request.
 
 use larkspring::exec;
 use larkspring_standin::engine::Faults;
@@ -9,7 +9,7 @@
 use crate::process::stop_requested;
 use crate::AnyError;
 
-/// Runs the deployment until asked to stop.
+/// Runs the deployment until a signal stops it.
 pub fn run(args: &DevArgs) -> Result<(), AnyError> {
     let shape = Shape {
         port: args.port,
--- a/crates/larkspring-cli/src/experiment.rs
+++ b/crates/larkspring-cli/src/experiment.rs
@@ -1,4 +1,5 @@
-//! The command `experiment`: one scenario with each policy, on the real path.
+//! The command `experiment`: compares routing policies under a scenario, on a local
+//! deployment of real entries and agents.
 
 mod html;
 
@@ -27,16 +28,16 @@
 const ZIPF: f64 = 1.1;
 const TOKENS: u64 = 100;
 const CALL_LIMIT: Duration = Duration::from_secs(10);
-/// Time for agents and entries to be ready before a load.
+/// Delay before a load, in which agents and entries become ready.
 const READY: Duration = Duration::from_secs(5);
-/// Loads that come before those that are measured, as a share of the time.
+/// Length of the warm-up as a multiple of the measurement's length.
 const WARM_UP: f64 = 1.0;
-/// Share of the whole time after which the popularity shifts.
+/// Fraction of warm-up and measurement after which other adapters become popular.
 const SHIFT_AT: f64 = 0.6;
-/// The adapter that becomes hot.
+/// Number of the adapter that receives half of the requests in [`Scenario::Hot`].
 const HOT: usize = 17;
 
-/// Sizes of a deployment.
+/// Sizes and rates of a deployment.
 struct Sizes {
     engines: usize,
     rate: f64,
@@ -44,7 +45,7 @@
     load_concurrency: u32,
 }
 
-/// Figures of one policy.
+/// Results of a policy.
 struct Outcome {
     policy: String,
     report: Report,
@@ -53,7 +54,7 @@
     tokens: u64,
 }
 
-/// Runs the scenario with each policy and prints and writes the figures.
+/// Runs the scenario with each policy, prints the results and writes them to files.
 pub fn run(args: &ExperimentArgs) -> Result<(), AnyError> {
     let sizes = sizes(args.profile);
     let (warm_up, arrivals) = arrivals(args, &sizes);
@@ -98,7 +99,7 @@
     }
 }
 
-/// Draws the arrivals of the warm-up and of the measured part.
+/// Generates the arrivals of the warm-up and of the measurement.
 fn arrivals(args: &ExperimentArgs, sizes: &Sizes) -> (Vec<Arrival>, Vec<Arrival>) {
     let factor = if args.scenario == Scenario::Priorities { 2.0 } else { 1.0 };
     let shift = matches!(args.scenario, Scenario::Shift).then_some(SHIFT_AT);
@@ -187,7 +188,7 @@
             ..WeightFaults::default()
         },
         entry_settings: format!("  routing: {policy}\n"),
-        // The baselines are the usual policies, with the usual eviction.
+        // The baselines are common policies, so they run with common LRU eviction.
         agent_settings: match policy {
             "predicted" => String::new(),
             _ => "  eviction: lru\n".into(),
@@ -196,7 +197,7 @@
     }
 }
 
-/// Restarts one engine after another, spread over the measured time.
+/// Restarts the engines one after another, evenly spread over the measurement.
 async fn restart_engines(scenario: Scenario, engines: Vec<String>, seconds: f64) {
     if scenario != Scenario::Restarts {
         return;
@@ -229,7 +230,8 @@
 }
 
 impl Outcome {
-    /// Useful tokens over what the steps could have given up to the knee.
+    /// Returns the generated tokens as a fraction of those that the steps could have
+    /// generated with [`KNEE`] requests each.
     fn efficiency(&self) -> f64 {
         self.tokens as f64 / (self.steps.max(1) * KNEE as u64) as f64
     }
--- a/crates/larkspring-cli/src/experiment/html.rs
+++ b/crates/larkspring-cli/src/experiment/html.rs
@@ -1,9 +1,9 @@
-//! The report of an experiment as a page with plots.
+//! The report of an experiment as an HTML page with plots.
 
 use plotters::prelude::*;
 use serde_json::Value;
 
-/// A figure that is plotted for each policy.
+/// A bar chart of one result over the policies.
 struct Plot {
     title: &'static str,
     path: &'static str,
@@ -19,7 +19,7 @@
 const SIZE: (u32, u32) = (480, 260);
 const FONT: (&str, u32) = ("sans-serif", 16);
 
-/// Builds the page.
+/// Returns the page for the results of an experiment.
 pub fn page(figures: &Value) -> String {
     let policies = figures["policies"].as_array().cloned().unwrap_or_default();
     let plots: String = PLOTS.iter().filter_map(|p| draw(p, &policies).ok()).collect();
--- a/crates/larkspring-cli/src/explain.rs
+++ b/crates/larkspring-cli/src/explain.rs
@@ -1,4 +1,4 @@
-//! What the log lines of several processes tell of one request.
+//! The command `explain`: the log lines of several processes about one request.
 
 use std::collections::BTreeSet;
 use std::io::Read;
@@ -10,16 +10,16 @@
 use crate::args::ExplainArgs;
 use crate::AnyError;
 
-/// Events that change what a process believes, whichever request comes next.
+/// Events that change the replicated state of a process, independent of a request.
 const BELIEFS: [&str; 5] =
     ["routing in force", "dependency lost", "dependency regained", "start", "stop"];
-/// Belief lines shown before a request's first line.
+/// Maximum number of lines shown from before the request's first line.
 const SHOWN_BELIEFS: usize = 8;
-/// Fields that are shown in front of the others, or that say nothing to a reader.
+/// Fields that are printed in front of the others, or not at all.
 const PLACED_FIELDS: [&str; 7] =
     ["timestamp", "vm", "event", "level", "target", "request", "fields"];
 
-/// Prints the lines about a request in order, after the beliefs that held then.
+/// Prints the last state changes before a request, then the lines about it, by time.
 pub fn run(args: &ExplainArgs) -> Result<(), AnyError> {
     let lines = read(&args.logs)?;
     let shown = history(&lines, &args.id);
@@ -33,17 +33,17 @@
     Ok(())
 }
 
-/// A log line and where it stood.
+/// A log line with its origin.
 #[derive(Debug)]
 pub struct Line {
-    /// VM of the process that wrote it; the file, where the line names none.
+    /// VM of the process that wrote the line, or the file's name if the line has no VM.
     pub vm: Arc<str>,
-    /// When it was written, as text that sorts.
+    /// Time of writing as text, whose order is the order of time.
     pub time: String,
     fields: Map<String, Value>,
 }
 
-/// Reads log files, or standard input if there are none, in the order of time.
+/// Reads the lines of log files, or of standard input if `files` is empty, by time.
 pub fn read(files: &[PathBuf]) -> Result<Vec<Line>, AnyError> {
     let mut lines = Vec::new();
     if files.is_empty() {
@@ -60,14 +60,15 @@
     Ok(lines)
 }
 
-/// Returns the lines to show for a request.
+/// Returns the lines to show for a request: those that name it, and lines about its VMs'
+/// state, its endpoints and other requests with its fingerprint.
 fn history<'a>(lines: &'a [Line], id: &str) -> Vec<&'a Line> {
     let of_request: Vec<_> = lines.iter().filter(|l| l.field("request") == id).collect();
     let Some(first) = of_request.first() else { return Vec::new() };
     let last = of_request.last().map_or("", |l| &l.time);
     let vms: BTreeSet<_> = of_request.iter().map(|l| &l.vm).collect();
     let endpoints: BTreeSet<_> = of_request.iter().map(|l| l.field("endpoint")).collect();
-    // Other requests of the same content: under those that endpoints ended it is refused.
+    // Crashes under other requests with the same fingerprint lead to its refusal.
     let contents: BTreeSet<_> = of_request.iter().map(|l| l.field("content")).collect();
     let concerns = |l: &&Line| {
         let belief = BELIEFS.contains(&l.field("event")) && vms.contains(&l.vm);
@@ -89,8 +90,8 @@
 
 fn parse<'a>(file: &'a str, text: &'a str) -> impl Iterator<Item = Line> + 'a {
     let file: Arc<str> = file.into();
-    // What collects lines may write before them. Those that are no JSON, as of other
-    // programs in one stream, are passed over.
+    // Log collectors may add a prefix to each line. Lines without JSON, for example of
+    // other programs in the same stream, are skipped.
     let json = text.lines().filter_map(|l| Some(&l[l.find('{')?..]));
     let parsed = json.filter_map(|l| serde_json::from_str(l).ok());
     parsed.map(move |fields: Map<String, Value>| {
@@ -102,12 +103,12 @@
 }
 
 impl Line {
-    /// A text field; empty if it is missing.
+    /// Returns a text field; empty if it is missing.
     pub fn field(&self, name: &str) -> &str {
         self.fields.get(name).and_then(Value::as_str).unwrap_or_default()
     }
 
-    /// A whole number; `None` if it is missing.
+    /// Returns a field that holds a non-negative integer.
     pub fn number(&self, name: &str) -> Option<u64> {
         self.fields.get(name).and_then(Value::as_u64)
     }
--- a/crates/larkspring-cli/src/load/arrivals.rs
+++ b/crates/larkspring-cli/src/load/arrivals.rs
@@ -1,40 +1,40 @@
-//! Arrivals drawn from a seed: Poisson in time, Zipf over adapters.
+//! Random arrivals: a Poisson process in time, a Zipf distribution over adapters.
 
 use std::collections::{BTreeSet, HashMap};
 
 use fastrand::Rng;
 
-/// What a load consists of.
+/// Parameters of a load.
 #[derive(Debug, Clone)]
 pub struct Workload {
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
     /// Length in seconds.
     pub seconds: f64,
     /// Number of adapters.
     pub adapters: usize,
-    /// Exponent of the skew; 0 for none.
+    /// Exponent of the Zipf distribution over adapters; 0 for a uniform distribution.
     pub zipf: f64,
     /// Mean number of tokens of an answer.
     pub tokens: u64,
-    /// Seed of everything drawn.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// Share of the time after which the popular adapters are others.
+    /// Fraction of the length after which other adapters become popular.
     pub shift_at: Option<f64>,
     /// Percentage of urgent requests.
     pub urgent_percent: u32,
 }
 
-/// One request.
+/// A request of a load.
 #[derive(Debug, Clone)]
 pub struct Arrival {
-    /// When it is sent, in microseconds from the start.
+    /// Time of sending in microseconds from the start.
     pub at_us: u64,
     /// Number of its adapter.
     pub adapter: usize,
-    /// Tokens that it asks for.
+    /// Number of tokens to generate.
     pub tokens: u64,
-    /// 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u32,
 }
 
@@ -42,7 +42,7 @@
 const ORDINARY: u32 = 5;
 
 impl Workload {
-    /// Draws the arrivals.
+    /// Generates the arrivals in order of time.
     pub fn arrivals(&self) -> Vec<Arrival> {
         let mut rng = Rng::with_seed(self.seed);
         let skew = Skew::new(self.adapters, self.zipf);
@@ -70,15 +70,16 @@
     }
 }
 
-/// Returns the fewest loads with which `slots` slots in all can serve the arrivals, if
-/// the future is known and no engine is ever full: a bound that no policy passes.
+/// Returns the fewest adapter loads with which `slots` slots in all can serve the
+/// arrivals. This is a lower bound for every policy: it evicts with knowledge of the
+/// future, as Belady's algorithm, and no engine is ever full.
 pub fn fewest_loads(arrivals: &[Arrival], slots: usize) -> usize {
     let mut next_use = vec![usize::MAX; arrivals.len()];
     let mut last = HashMap::new();
     for (n, arrival) in arrivals.iter().enumerate().rev() {
         next_use[n] = last.insert(arrival.adapter, n).unwrap_or(usize::MAX);
     }
-    // Held adapters by their next use, and the next use of each.
+    // Held adapters ordered by their next use, and the next use of each.
     let mut by_use = BTreeSet::new();
     let mut held = HashMap::new();
     let mut loads = 0;
@@ -98,7 +99,7 @@
     loads
 }
 
-/// Draws places with probability falling as a power of the place.
+/// A Zipf distribution: the probability of a rank falls as a power of the rank.
 struct Skew {
     cumulative: Vec<f64>,
 }
--- a/crates/larkspring-cli/src/load/client.rs
+++ b/crates/larkspring-cli/src/load/client.rs
@@ -1,4 +1,4 @@
-//! One request of the load tool, timed.
+//! Sends one request of a load and measures its times.
 
 use std::time::{Duration, Instant};
 
@@ -11,33 +11,33 @@
 
 use super::arrivals::Arrival;
 
-/// Where a load goes.
+/// A server that receives a load.
 #[derive(Debug, Clone)]
 pub struct Target {
-    /// Address.
+    /// Address of the server.
     pub addr: String,
     /// Key of the caller; empty for none.
     pub key: String,
-    /// Whether each request runs at most once, with a key of its own.
+    /// Whether each request has its own idempotency key, to run at most once.
     pub keyed: bool,
 }
 
-/// What came of a request.
+/// Result of a request.
 #[derive(Debug, Clone, Default)]
 pub struct Sample {
-    /// From the planned time to the first byte of the answer.
+    /// Time from sending to the first byte of the answer.
     pub first_byte: Duration,
-    /// From the first byte to the end.
+    /// Time from the first byte to the end.
     pub rest: Duration,
-    /// Reads of the body.
+    /// Number of reads of the body that returned data.
     pub chunks: u64,
-    /// Wait for the adapter, as the entry says.
+    /// Wait for the adapter, as reported by the entry.
     pub load_wait: Duration,
-    /// `ok`, `broken`, or the outcome and step of a refusal.
+    /// `ok`, `broken` for an interrupted answer, or the outcome and step of a refusal.
     pub outcome: String,
     /// Whether the request was urgent.
     pub urgent: bool,
-    /// Tokens asked for.
+    /// Number of tokens requested.
     pub tokens: u64,
 }
 
@@ -47,7 +47,7 @@
 const STREAM_END: &str = "data: [DONE]\n\n";
 const READ_SIZE: usize = 8192;
 
-/// Sends a request and reads its whole answer.
+/// Sends a request and reads its answer to the end.
 pub async fn send(target: &Target, arrival: &Arrival, name: &str) -> Sample {
     let late = async {
         Timer::after(LIMIT * 2).await;
--- a/crates/larkspring-cli/src/load/mod.rs
+++ b/crates/larkspring-cli/src/load/mod.rs
@@ -1,4 +1,4 @@
-//! The load tool: open-loop arrivals over a skewed choice of adapters, on the real path.
+//! The command `load`: an open-loop load with a skewed choice of adapters.
 
 pub mod arrivals;
 pub mod client;
@@ -18,7 +18,7 @@
 use crate::args::LoadArgs;
 use crate::AnyError;
 
-/// Runs a load and prints what came of it.
+/// Runs a load and prints its results.
 pub fn run(args: &LoadArgs) -> Result<(), AnyError> {
     let workload = Workload {
         rate: args.rate,
@@ -64,7 +64,8 @@
     })
 }
 
-/// Sends each arrival at its time, whatever became of the ones before.
+/// Sends each request at its arrival time without waiting for earlier answers, in turn to
+/// the targets, and collects the results.
 pub async fn drive(arrivals: &[Arrival], targets: &[Target], name: &str) -> Report {
     let start = Instant::now();
     let targets: Arc<[Target]> = targets.into();
--- a/crates/larkspring-cli/src/load/report.rs
+++ b/crates/larkspring-cli/src/load/report.rs
@@ -1,4 +1,4 @@
-//! What came of a load, in figures.
+//! Statistics of a load.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,24 +8,24 @@
 
 use super::client::Sample;
 
-/// Figures of one load; times in microseconds.
+/// Statistics of a load, with times in microseconds.
 #[derive(Debug)]
 pub struct Report {
-    /// Requests by what came of them.
+    /// Number of requests by outcome.
     pub outcomes: BTreeMap<String, u64>,
     first_byte: Histogram<u64>,
     urgent_first_byte: Histogram<u64>,
     gap: Histogram<u64>,
     load_wait: Histogram<u64>,
-    /// Reads of bodies.
+    /// Number of reads of bodies of complete answers.
     pub chunks: u64,
-    /// Tokens of whole answers.
+    /// Number of tokens of complete answers.
     pub tokens: u64,
     /// Time from the first request to the last answer.
     pub elapsed: Duration,
 }
 
-/// Waits under this are no stall.
+/// Shorter waits for an adapter don't count as stalls.
 const STALL: Duration = Duration::from_millis(10);
 const DIGITS: u8 = 3;
 
@@ -46,7 +46,7 @@
 }
 
 impl Report {
-    /// Adds a request.
+    /// Adds the result of a request.
     pub fn add(&mut self, sample: &Sample) {
         *self.outcomes.entry(sample.outcome.clone()).or_default() += 1;
         if sample.outcome != "ok" {
@@ -64,43 +64,44 @@
         record(&mut self.load_wait, micros(sample.load_wait));
     }
 
-    /// Number of requests.
+    /// Returns the number of requests.
     pub fn requests(&self) -> u64 {
         self.outcomes.values().sum()
     }
 
-    /// Number of whole answers.
+    /// Returns the number of complete answers.
     pub fn ok(&self) -> u64 {
         self.outcomes.get("ok").copied().unwrap_or(0)
     }
 
-    /// Sum of the waits for adapters, in seconds.
+    /// Returns the sum of the waits for adapters, in seconds.
     pub fn stall_seconds(&self) -> f64 {
         self.load_wait.mean() * self.load_wait.len() as f64 / 1e6
     }
 
-    /// Percentile of the waits for adapters, in milliseconds.
+    /// Returns a percentile of the waits for adapters, in milliseconds.
     pub fn stall_ms(&self, percentile: f64) -> f64 {
         self.load_wait.value_at_quantile(percentile / 100.0) as f64 / 1000.0
     }
 
-    /// Share of the whole answers that waited for an adapter.
+    /// Returns the fraction of complete answers that waited for an adapter.
     pub fn stalled_share(&self) -> f64 {
         let below = self.load_wait.count_between(0, STALL.as_micros() as u64);
         1.0 - below as f64 / self.load_wait.len().max(1) as f64
     }
 
-    /// Percentile of the time to the first byte, in milliseconds.
+    /// Returns a percentile of the time to the first byte, in milliseconds.
     pub fn first_ms(&self, percentile: f64) -> f64 {
         self.first_byte.value_at_quantile(percentile / 100.0) as f64 / 1000.0
     }
 
-    /// Percentile of the time to the first byte of urgent requests, in milliseconds.
+    /// Returns a percentile of the time to the first byte of urgent requests, in
+    /// milliseconds.
     pub fn urgent_first_ms(&self, percentile: f64) -> f64 {
         self.urgent_first_byte.value_at_quantile(percentile / 100.0) as f64 / 1000.0
     }
 
-    /// One line for a person.
+    /// Returns a line of text with the main figures.
     pub fn summary(&self) -> String {
         format!(
             "{} requests, {} ok, first byte p50 {:.2} p99 {:.2} ms, gap p50 {} p99 {} us, \
@@ -118,7 +119,7 @@
         )
     }
 
-    /// What this load took longer than `direct`.
+    /// Returns a line of text with the latency added over `direct`.
     pub fn added_to(&self, direct: &Self) -> String {
         let first = |p: f64| self.first_ms(p) - direct.first_ms(p);
         let gap = |q: f64| {
@@ -136,7 +137,7 @@
         )
     }
 
-    /// The figures as JSON.
+    /// Returns the statistics as JSON.
     pub fn json(&self) -> Value {
         json!({
             "requests": self.requests(),
@@ -154,8 +155,8 @@
     }
 }
 
-/// Adds a value to a histogram that grows as needed.
+/// Adds a value to a histogram that resizes itself as needed.
 fn record(histogram: &mut Histogram<u64>, value: u64) {
-    // Only a value beyond the memory of the machine fails.
+    // Fails only if the histogram can't grow to hold the value.
     let _ = histogram.record(value);
 }
--- a/crates/larkspring-cli/src/load/usage.rs
+++ b/crates/larkspring-cli/src/load/usage.rs
@@ -1,8 +1,8 @@
-//! Processor time and memory of processes, as the system counts them.
+//! CPU time and memory of processes, from `/proc`.
 
 use std::fs;
 
-/// What a process has used so far.
+/// CPU time and memory that a process has used so far.
 #[derive(Debug, Clone, Default)]
 pub struct Usage {
     pid: u32,
@@ -11,19 +11,20 @@
     resident_kb: u64,
 }
 
-/// Microseconds of a tick of `/proc/PID/stat`.
+/// Length of a clock tick of `/proc/PID/stat`, in microseconds.
 const TICK_US: u64 = 10_000;
-/// Places of user and system time after the name of the program.
+/// Indexes of user and system time among the fields after the program's name.
 const USER_TIME: usize = 11;
 const SYSTEM_TIME: usize = 12;
 
 impl Usage {
-    /// Reads the usage of processes; one that has ended counts as nothing.
+    /// Returns the usage of each process; zero for a process that has ended.
     pub fn of(pids: &[u32]) -> Vec<Self> {
         pids.iter().map(|pid| Self::read(*pid).unwrap_or_default()).collect()
     }
 
-    /// One line on the difference to `before`, for `chunks` relayed.
+    /// Returns a line of text with the CPU time since `before`, in total and for each of
+    /// `chunks` relayed reads, and with the memory.
     pub fn since(&self, before: &Self, chunks: u64) -> String {
         let cpu = self.cpu_us - before.cpu_us;
         format!(
--- a/crates/larkspring-cli/src/main.rs
+++ b/crates/larkspring-cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `larkspring`: every process and operator command, thin over the library.
+//! The `larkspring` program: parses the command line and runs a process or a command.
 
 mod args;
 mod decisions;
@@ -21,7 +21,7 @@
 
 use self::args::{Cli, Command};
 
-/// Exit code for input that is refused.
+/// Exit code of a command that refuses its input or fails.
 const EXIT_REFUSED: u8 = 1;
 
 fn main() -> ExitCode {
@@ -34,7 +34,7 @@
     }
 }
 
-/// Any error that ends the program; its text is all that is shown.
+/// An error that ends the program. Only its text is printed.
 type AnyError = Box<dyn std::error::Error>;
 
 fn run(cli: Cli) -> Result<(), AnyError> {
--- a/crates/larkspring-cli/src/operate.rs
+++ b/crates/larkspring-cli/src/operate.rs
@@ -1,4 +1,4 @@
-//! Operator commands.
+//! Operator commands on settings and on the declared state.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 const API_TIMEOUT: Duration = Duration::from_secs(5);
 const OPERATOR_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Checks settings and declarations.
+/// Validates settings and declarations and reports all errors at once.
 pub fn check(args: &CheckArgs) -> Result<(), AnyError> {
     let mut faults = Vec::new();
     for file in &args.settings {
@@ -43,7 +43,7 @@
     }
 }
 
-/// Asks an entry for a plan and prints it.
+/// Requests a plan from an entry and prints it.
 pub fn plan(args: &PlanArgs) -> Result<(), AnyError> {
     let all = declare::read_dir(&args.declarations)?;
     let text = serde_json::to_string(&all)?;
@@ -52,7 +52,7 @@
     Ok(())
 }
 
-/// Puts a plan into effect.
+/// Confirms a plan, which publishes its changes.
 pub fn confirm(args: &ConfirmArgs) -> Result<(), AnyError> {
     let path = format!("/plans/{}/confirm", args.plan);
     let done = exec::run(1, call(&args.to, Method::Post, &path, String::new()))?;
@@ -67,7 +67,7 @@
     Ok(())
 }
 
-/// Calls the operators' API of an entry.
+/// Calls the operator API of an entry.
 async fn call(
     to: &OperatorArgs,
     method: Method,
@@ -90,7 +90,7 @@
     }
 }
 
-/// Makes a folder of declarations the declared state.
+/// Publishes a folder of declarations as the declared state.
 pub fn apply(args: &ApplyArgs) -> Result<(), AnyError> {
     let all = declare::read_dir(&args.declarations)?;
     let change =
--- a/crates/larkspring-cli/src/platform.rs
+++ b/crates/larkspring-cli/src/platform.rs
@@ -1,4 +1,4 @@
-//! The processes on the users' platform: settings by its adapter, run until asked to stop.
+//! Processes on the users' platform, whose settings the platform provides.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,15 +16,15 @@
 use crate::args::{PlatformArgs, PlatformEntryArgs};
 use crate::AnyError;
 
-/// Threads of a process: each has a fifth of a core.
+/// Number of threads of a process, which has a fifth of a core.
 const THREADS: u32 = 1;
-/// Time for a call to the platform's store, which answers in a few milliseconds; slow
-/// ones were seen to take a hundred times as long.
+/// Limits a call to the platform's store. The store usually answers within a few
+/// milliseconds, but may take a hundred times as long.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1000);
-/// How often the settings file is looked at, as it may change without a signal.
+/// Interval of the checks of the settings file, which may change without a signal.
 const LOOK_EVERY: Duration = Duration::from_secs(5);
 
-/// Runs an entry until asked to stop.
+/// Runs an entry until a signal stops it.
 pub fn entry(args: &PlatformEntryArgs) -> Result<(), AnyError> {
     let settings = Settings::load()?;
     let placement = args.placement.into();
@@ -49,7 +49,7 @@
     })
 }
 
-/// Runs an agent until asked to stop.
+/// Runs an agent until a signal stops it.
 pub fn agent(args: &PlatformArgs) -> Result<(), AnyError> {
     let settings = Settings::load()?;
     let cfg = AgentCfg { without: args.without(), ..settings.agent()? };
@@ -58,7 +58,7 @@
     exec::run(THREADS, async {
         let requests = Requests::new()?;
         let agent = Agent::start(cfg, Arc::new(Wire), store.clone(), store).await?;
-        // Nothing that an agent goes by can change while it runs.
+        // No setting of an agent can change at run time: new settings are only validated.
         let reload = |settings: &Settings| settings.agent().map(drop);
         until_stopped(requests, settings, reload).await;
         agent.stop().await;
@@ -66,8 +66,8 @@
     })
 }
 
-/// Waits for the signal to stop; puts changed settings in force meanwhile. Settings that
-/// are refused change nothing.
+/// Waits for the signal to stop and meanwhile applies changed settings. Invalid settings
+/// are logged, and the earlier ones stay in force.
 async fn until_stopped(
     mut requests: Requests,
     mut known: Settings,
--- a/crates/larkspring-cli/src/process.rs
+++ b/crates/larkspring-cli/src/process.rs
@@ -1,4 +1,4 @@
-//! The processes: settings, log, run until asked to stop.
+//! The commands `entry` and `agent`, which run one process with settings from a file.
 
 use larkspring::agent::Agent;
 use larkspring::entry::Entry;
@@ -9,7 +9,7 @@
 use crate::args::ProcessArgs;
 use crate::AnyError;
 
-/// Runs an entry until asked to stop; its address is printed first.
+/// Prints the address of an entry and runs it until a signal stops it.
 pub fn entry(args: &ProcessArgs) -> Result<(), AnyError> {
     let (settings, _log) = prepare(args)?;
     exec::run(settings.threads, async {
@@ -21,7 +21,7 @@
     })
 }
 
-/// Runs an agent until asked to stop; its address is printed first.
+/// Prints the address of an agent and runs it until a signal stops it.
 pub fn agent(args: &ProcessArgs) -> Result<(), AnyError> {
     let (settings, _log) = prepare(args)?;
     exec::run(settings.threads, async {
@@ -33,7 +33,7 @@
     })
 }
 
-/// Waits for the signal to stop; without signals the process runs on.
+/// Waits for the signal to stop, or forever if signals can't be received.
 pub async fn stop_requested() {
     if stop::requested().await.is_err() {
         std::future::pending::<()>().await;
--- a/crates/larkspring-cli/src/quarantine.rs
+++ b/crates/larkspring-cli/src/quarantine.rs
@@ -1,4 +1,5 @@
-//! The command `quarantine`: requests that are refused since endpoints ended under them.
+//! The command `quarantine`, for requests that are refused because endpoints crashed
+//! while they served them.
 
 use std::time::Duration;
 
@@ -10,10 +11,10 @@
 use crate::args::{QuarantineArgs, QuarantineStep};
 use crate::AnyError;
 
-/// Time for a call to the platform's store: an operator waits for it, a request does not.
+/// Limits a call to the platform's store. Only an operator waits for it, no request.
 const CALL_LIMIT: Duration = Duration::from_secs(10);
 
-/// Lists, lifts or forbids a content by its object in the platform's store.
+/// Lists, lifts or adds quarantined requests by their objects in the platform's store.
 pub fn run(args: &QuarantineArgs) -> Result<(), AnyError> {
     let store = Store::new(args.store, CALL_LIMIT);
     exec::run(1, async {
@@ -33,10 +34,10 @@
     })
 }
 
-/// Reads a content as log lines write it: 16 digits in hex.
+/// Parses a request fingerprint as in log lines: 16 hexadecimal digits.
 pub fn read_content(text: &str) -> Result<ContentHash, String> {
     let content = ContentHash::from_str_radix(text, 16);
-    let content = content.map_err(|_| format!("`{text}` is no content of a log line"))?;
+    let content = content.map_err(|_| format!("`{text}` is no request fingerprint"))?;
     match text.len() == 16 {
         true => Ok(content),
         false => Err(format!("`{text}` has {} digits, not 16", text.len())),
--- a/crates/larkspring-cli/src/standin.rs
+++ b/crates/larkspring-cli/src/standin.rs
@@ -1,4 +1,4 @@
-//! One stand-in as a process.
+//! The command `standin`: one stand-in in a process of its own.
 
 use std::future::pending;
 use std::sync::Arc;
@@ -14,10 +14,10 @@
 use crate::args::{StandinArgs, StandinKind};
 use crate::AnyError;
 
-/// Threads of a stand-in.
+/// Number of threads of a stand-in.
 const THREADS: u32 = 2;
 
-/// Runs a stand-in until the process is killed; its address is printed first.
+/// Prints the address of a stand-in and runs it until the process is killed.
 pub fn run(args: &StandinArgs) -> Result<(), AnyError> {
     exec::run(THREADS, async {
         let served = serve(args).await?;
--- a/crates/larkspring-cli/src/status.rs
+++ b/crates/larkspring-cli/src/status.rs
@@ -1,4 +1,4 @@
-//! The command `status`: what is in force where.
+//! The command `status`: the revision in force at each entry.
 
 use std::time::{Duration, Instant};
 
@@ -16,10 +16,10 @@
 
 const CALL_LIMIT: Duration = Duration::from_secs(2);
 const POLL: Duration = Duration::from_millis(10);
-/// Time after which a change counts as not in force.
+/// Limits the wait until an entry applies a change.
 const GIVE_UP: Duration = Duration::from_secs(60);
 
-/// Prints the revision in force at each entry, or times a change.
+/// Prints the revision in force at each entry, or the time that a change takes.
 pub fn run(args: &StatusArgs) -> Result<(), AnyError> {
     exec::run(exec::DEPLOYMENT_THREADS, async {
         match &args.time_change {
@@ -49,11 +49,11 @@
     println!("revision {newest} is in force on {there} of {}", entries.len());
     match there == entries.len() {
         true => Ok(()),
-        false => Err("it is not in force everywhere yet".into()),
+        false => Err("some entries have not applied the newest revision".into()),
     }
 }
 
-/// Adds one adapter and waits until that is in force at each entry.
+/// Adds an adapter and prints the time until the entries apply the change.
 async fn time_change(entries: &[String], objects: &str) -> Result<(), AnyError> {
     let api = HttpObjects::new(objects, CALL_LIMIT);
     let (present, mut all) = plan::read_present(&api).await?;
@@ -82,7 +82,7 @@
     let waits: Vec<_> = waits.collect();
     let mut times = Vec::new();
     for wait in waits {
-        times.push(wait.await.ok_or("a change is not in force after a minute")?);
+        times.push(wait.await.ok_or("an entry did not apply the change within 60 s")?);
     }
     times.sort();
     let last = times.len() - 1;
--- a/crates/larkspring-cli/src/summary.rs
+++ b/crates/larkspring-cli/src/summary.rs
@@ -1,4 +1,5 @@
-//! Where the time of all requests went, as the log lines of several processes tell.
+//! The command `summary`: tables of latencies, refusals and adapter loads, computed from
+//! the log lines of several processes.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -8,7 +9,7 @@
 use crate::explain::{read, Line};
 use crate::AnyError;
 
-/// Upper bounds of the sizes of prompts that are told apart, in tokens.
+/// Upper bounds of the classes of prompt sizes in tokens, with their labels.
 const SIZES: [(u64, &str); 5] = [
     (2_000, "under 2,000"),
     (6_000, "under 6,000"),
@@ -16,12 +17,12 @@
     (20_000, "under 20,000"),
     (u64::MAX, "longer"),
 ];
-/// The longest time that is told exactly, in milliseconds.
+/// The longest time that a histogram records, in milliseconds. Longer times are clamped.
 const LONGEST_MS: u64 = 120_000;
-/// Characters of a line's time up to the second.
+/// Length of a timestamp up to and including the seconds.
 const TO_THE_SECOND: usize = "2000-01-01T00:00:00".len();
 
-/// Prints tables of answers, refusals and loads.
+/// Prints tables of answers, refusals, adapter loads and seconds.
 pub fn run(args: &SummaryArgs) -> Result<(), AnyError> {
     let lines = read(&args.logs)?;
     let mut by_size = BTreeMap::new();
@@ -79,14 +80,14 @@
     Ok(())
 }
 
-/// What happened in one second, over all processes.
+/// Counts of one second, over all processes.
 #[derive(Default)]
 struct Second<'a> {
     answers: u64,
-    /// Answers that waited for their adapter for over half of their objective.
+    /// Answers that waited for their adapter longer than half of their latency objective.
     waited: u64,
     lost_orders: u64,
-    /// Sends that the endpoint rejected, or that met another run of it.
+    /// Attempts that the endpoint rejected, or that reached another run of it.
     rejected: u64,
     fetches: u64,
     unserved: BTreeMap<&'a str, u64>,
@@ -147,7 +148,7 @@
         Self { count: 0, again: 0, waited: histogram(), rest: histogram() }
     }
 
-    /// Counts an answer; its time is that for the adapter and the rest.
+    /// Records an answer: the wait for its adapter, and the remaining time to first byte.
     fn add(&mut self, line: &Line) {
         let waited = line.number("waited_ms").unwrap_or_default();
         let first_byte = line.number("first_byte_ms").unwrap_or_default();
@@ -168,21 +169,23 @@
     }
 }
 
-/// Why a load is no fetch.
+/// Reason for a load that needs no fetch from the weight store.
 const FROM_MEMORY: &str = "from the VM's memory: this engine held it";
 
-/// Loads by what was known of the adapter before, over all engines.
+/// Counts of adapter loads over all engines, by where the adapter was loaded before.
 #[derive(Default)]
 struct Loads<'a> {
-    /// Engines, by the VM of their agent, that hold an adapter now.
+    /// Engines that hold an adapter now, by adapter. The name of an engine is that of its
+    /// agent's VM.
     held_by: HashMap<&'a str, HashSet<&'a str>>,
-    /// Engines that held an adapter before.
+    /// Engines that have unloaded an adapter, by adapter.
     left: HashMap<&'a str, HashSet<&'a str>>,
     counts: BTreeMap<&'static str, u64>,
 }
 
 impl<'a> Loads<'a> {
-    /// Counts an order; whether it fetches an adapter from the weight store.
+    /// Records a load or unload order. Returns whether it fetches an adapter from the
+    /// weight store.
     fn order(&mut self, line: &'a Line) -> bool {
         let (adapter, engine) = (line.field("of"), &*line.vm);
         match (line.field("kind"), line.field("answer")) {
@@ -201,7 +204,7 @@
         false
     }
 
-    /// Forgets what an engine held, with the copies on its VM.
+    /// Removes an engine's adapters, with the host-memory copies, which are lost as well.
     fn restarted(&mut self, engine: &str) {
         let of_all = self.held_by.values_mut().chain(self.left.values_mut());
         for engines in of_all {
