--- a/crates/larkspring-standin/src/engine.rs
+++ b/crates/larkspring-standin/src/engine.rs
@@ -1,7 +1,7 @@
 //! Stand-in for a model engine: adapter slots, continuous batching and restarts.
 //!
-//! Each step gives one token to each request of the batch. A step takes a base time and
-//! a part for each request over the knee, as on a real accelerator.
+//! A step generates one token for each request of the batch. As on an accelerator, it takes
+//! a base time up to a number of requests (the knee), and more time for each further one.
 
 mod run;
 
@@ -27,35 +27,35 @@
     state: Mutex<State>,
 }
 
-/// How the engine behaves.
+/// Behaviour and faults of the engine.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Adapter slots.
+    /// Number of adapter slots.
     pub slots: usize,
-    /// Requests in a batch.
+    /// Maximum number of requests in a batch.
     pub max_batch: usize,
-    /// Requests up to which a step takes its base time.
+    /// Batch size up to which a step takes its base time.
     pub knee: usize,
     /// Base time of a step, in microseconds.
     pub step_us: u64,
-    /// Time for each request over the knee, in microseconds.
+    /// Additional time of a step for each request over the knee, in microseconds.
     pub over_knee_us: u64,
-    /// Number of loads that fail.
+    /// Number of next loads that fail.
     pub fail_loads: u64,
-    /// Version that the next load takes in place of the one ordered.
+    /// Target that the next load takes instead of the ordered one.
     pub load_wrong: Option<String>,
-    /// Tokens after which the next answer's connection breaks.
+    /// Number of tokens after which the connection of the next streamed answer breaks.
     pub break_after: Option<u64>,
-    /// Whether a broken answer can be resumed.
+    /// Whether an interrupted answer can be resumed.
     pub resumable: bool,
-    /// Whether no request gets tokens.
+    /// Whether token generation is suspended.
     pub frozen: bool,
-    /// Whether requests run and their answers never begin.
+    /// Whether requests run without ever being answered.
     pub hang: bool,
-    /// Whether orders with an old epoch are refused.
+    /// Whether load and unload orders with an old epoch are refused.
     pub checks_fences: bool,
-    /// Age of the reports, in milliseconds.
+    /// Delay of the load reports, in milliseconds.
     pub report_lag_ms: u64,
 }
 
@@ -79,28 +79,28 @@
     }
 }
 
-/// What the engine saw.
+/// Counts and present state of the engine.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Stats {
-    /// The present run.
+    /// Id of the present run.
     pub incarnation: String,
     /// Requests that began to run, as `adapter@version prompt`.
     pub runs: Vec<String>,
-    /// Requests that were cancelled.
+    /// Number of requests cancelled before their end.
     pub cancelled: u64,
-    /// Requests that run now.
+    /// Number of requests in progress.
     pub running: usize,
-    /// Adapters that are loaded now.
+    /// Targets that are loaded now.
     pub resident: Vec<String>,
-    /// Loads that ended well.
+    /// Number of successful loads.
     pub loads: u64,
-    /// Unloads of an adapter that a request was using.
+    /// Number of unloads of an adapter while a request used it.
     pub unloads_in_use: u64,
-    /// Orders that were refused for their epoch.
+    /// Number of orders refused for an old epoch.
     pub fenced: u64,
-    /// Steps made.
+    /// Number of steps with at least one request.
     pub steps: u64,
-    /// Tokens given out.
+    /// Number of generated tokens.
     pub tokens: u64,
 }
 
@@ -140,7 +140,7 @@
     weights: String,
 }
 
-/// A refusal: its status and why.
+/// A refusal, as HTTP status and reason.
 struct Denied(u16, &'static str);
 
 impl From<Denied> for Response {
@@ -153,12 +153,13 @@
     16
 }
 
-/// Reports that are kept to be given out late.
+/// Maximum number of load reports that are kept to be returned with a delay.
 const REPORTS: usize = 64;
 const LOAD_TIMEOUT: Duration = Duration::from_secs(60);
 
 impl Engine {
-    /// Creates an engine that loads from the weight store at `weights`, if given.
+    /// Starts an engine that fetches from the weight store at `weights`. Without a store,
+    /// loads take no time.
     pub fn new(weights: Option<String>, faults: Faults) -> Arc<Self> {
         let stats = Stats { incarnation: new_incarnation(), ..Stats::default() };
         let state = State {
@@ -354,7 +355,7 @@
 }
 
 impl State {
-    /// Makes one step and returns how long it takes.
+    /// Performs one step and returns its duration.
     fn step(&mut self) -> Duration {
         let base = Duration::from_micros(self.faults.step_us);
         if self.faults.frozen {
@@ -410,7 +411,7 @@
         Ok(())
     }
 
-    /// Answers the state of some time ago.
+    /// Records a load report and returns an earlier one, delayed by `report_lag_ms`.
     fn report(&mut self) -> Response {
         let now = std::time::Instant::now();
         let running: Vec<_> = self
--- a/crates/larkspring-standin/src/engine/run.rs
+++ b/crates/larkspring-standin/src/engine/run.rs
@@ -1,4 +1,4 @@
-//! One request in the engine, and the answer that it gives token by token.
+//! A request in the engine, with the answer that it generates token by token.
 
 use std::io;
 use std::pin::Pin;
@@ -10,11 +10,11 @@
 use parking_lot::Mutex;
 use serde_json::json;
 
-/// Bytes by which a reader may lag before its request gets no more tokens.
+/// Maximum number of unread bytes of a stream, from which on its request gets no tokens.
 const MAX_LAG: usize = 64 * 1024;
 const STREAM_END: &[u8] = b"data: [DONE]\n\n";
 
-/// One request in the engine.
+/// A request in the engine.
 #[derive(Debug)]
 pub(super) struct Run {
     pub id: String,
@@ -35,9 +35,9 @@
     pub done: bool,
     /// Offset at which the connection breaks.
     pub break_at: Option<usize>,
-    /// Whether the request ended without its answer.
+    /// Whether the request ended before its answer was complete.
     pub broken: bool,
-    /// Bytes that the reader has taken.
+    /// Number of bytes read by the receiver.
     pub taken: usize,
     pub wakers: Vec<Waker>,
 }
@@ -48,7 +48,7 @@
         !out.done && (!self.stream || out.buf.len() < out.taken + MAX_LAG)
     }
 
-    /// Adds the next token, and after the last one the end.
+    /// Appends the next token, and the end of the stream after the last one.
     pub fn step(&self, break_after: &mut Option<u64>) {
         let mut out = self.out.lock();
         let token = match out.tokens {
@@ -104,7 +104,7 @@
         Poll::Pending
     }
 
-    /// Returns a whole answer; `None` if the request was broken off.
+    /// Returns the answer as one JSON body; `None` if it is incomplete.
     pub fn whole(&self) -> Option<String> {
         let out = self.out.lock();
         let choice = match self.chat {
@@ -125,7 +125,7 @@
     }
 }
 
-/// Builds the response that streams a request's answer from byte `from` on.
+/// Returns a response that streams a request's answer from byte offset `from` on.
 pub(super) fn stream(mut head: Response, run: Arc<Run>, from: usize) -> Response {
     let reader = Reader { run, at: from, chunk: Vec::new(), used: 0 };
     head.set_body(Body::from_reader(reader, None));
@@ -133,7 +133,7 @@
     head
 }
 
-/// Reads a request's answer from an offset on.
+/// Reads a request's answer from an offset on, and waits for tokens where needed.
 struct Reader {
     run: Arc<Run>,
     at: usize,
--- a/crates/larkspring-standin/src/lib.rs
+++ b/crates/larkspring-standin/src/lib.rs
@@ -1,8 +1,8 @@
-//! Small stand-ins for the systems that larkspring meets, one file each.
+//! Stand-ins for the outside systems that larkspring depends on, a module each.
 //!
-//! They speak the published protocols over HTTP. Their faults are set by `POST /faults`
-//! and what they saw is read by `GET /stats`, so that tests, trials and `larkspring dev`
-//! use the same surface.
+//! They implement the published protocols over HTTP. `POST /faults` sets their behaviour
+//! and faults, and `GET /stats` returns their counts, so that tests, experiments and
+//! `larkspring dev` use the same interface.
 
 pub mod engine;
 pub mod objects;
--- a/crates/larkspring-standin/src/objects.rs
+++ b/crates/larkspring-standin/src/objects.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the object API: versions, conditional updates, watches and faults.
+//! Stand-in for the object API, with versions, conditional updates and watches.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -20,26 +20,26 @@
     changed: Event,
 }
 
-/// Faults that the API shows.
+/// Faults of the API.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
     /// Whether every call is refused.
     pub outage: bool,
-    /// Time by which each call is slower, in milliseconds.
+    /// Delay of each call, in milliseconds.
     pub slow_ms: u64,
-    /// Number of writes that take effect and whose reply is lost.
+    /// Number of next writes that take effect although their reply is lost.
     pub lose_replies: u64,
 }
 
-/// Calls that the API got, by kind.
+/// Number of calls by kind.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Stats {
-    /// Reads.
+    /// Number of reads.
     pub reads: u64,
-    /// Writes, refused ones included.
+    /// Number of writes, including those refused for their version.
     pub writes: u64,
-    /// Watches.
+    /// Number of watches.
     pub watches: u64,
 }
 
@@ -116,7 +116,7 @@
         let (res, lost) = self.write_now(name, expected, value);
         self.changed.notify(usize::MAX);
         if lost {
-            // The caller of the API finds its time-out, or hangs up.
+            // The reply never comes, so that the client runs into its time-out.
             std::future::pending::<()>().await;
         }
         res
--- a/crates/larkspring-standin/src/service.rs
+++ b/crates/larkspring-standin/src/service.rs
@@ -1,4 +1,4 @@
-//! Stand-in for a plain service: it counts what it ran and may be slow or break off.
+//! Stand-in for a plain service, which records its calls and may be slow or never answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,13 +16,13 @@
     state: Mutex<State>,
 }
 
-/// Faults that the service shows.
+/// Faults of the service.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Time that a call takes, in milliseconds.
+    /// Duration of a call, in milliseconds.
     pub slow_ms: u64,
-    /// Number of calls that run and never answer.
+    /// Number of next calls that run and are never answered.
     pub hang: u64,
 }
 
@@ -31,7 +31,7 @@
 pub struct Run {
     /// Method and path with query.
     pub call: String,
-    /// Body.
+    /// Body of the request.
     pub body: String,
 }
 
--- a/crates/larkspring-standin/src/vms.rs
+++ b/crates/larkspring-standin/src/vms.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the platform's VM list, which lags behind what is set.
+//! Stand-in for the platform's VM list, which shows changes with a delay.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -16,13 +16,13 @@
     state: Mutex<State>,
 }
 
-/// What the list will show once the lag has passed.
+/// New contents of the list and the delay until it shows them.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Setting {
     /// The VMs.
     pub vms: Vec<Vm>,
-    /// How late the list shows them, in milliseconds.
+    /// Delay until the list shows them, in milliseconds.
     pub lag_ms: u64,
 }
 
--- a/crates/larkspring-standin/src/web.rs
+++ b/crates/larkspring-standin/src/web.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins share: serving HTTP and answering JSON.
+//! HTTP server and JSON helpers of all stand-ins.
 
 use std::future::Future;
 use std::io;
@@ -20,10 +20,10 @@
     fn answer(self: Arc<Self>, req: Request) -> impl Future<Output = Response> + Send;
 }
 
-/// A stand-in that is being served; it ends when this is dropped.
+/// A stand-in that is being served, until this is dropped.
 #[derive(Debug)]
 pub struct Served {
-    /// The address that it listens on.
+    /// Address that it listens on.
     pub addr: SocketAddr,
     _task: Task<()>,
 }
@@ -33,7 +33,7 @@
 const MAX_BODY: usize = 4 * 1024 * 1024;
 const MAX_CONNECTIONS: usize = 10_000;
 
-/// Serves a stand-in at `addr`.
+/// Binds `addr` and serves a stand-in there in the background.
 pub async fn start<W: Web>(addr: SocketAddr, web: Arc<W>) -> io::Result<Served> {
     let listener = TcpListener::bind(addr).await?;
     let addr = listener.local_addr()?;
@@ -58,14 +58,14 @@
     }
 }
 
-/// Builds an answer with plain text.
+/// Returns a response with plain text.
 pub fn text(status: u16, text: &str) -> Response {
     let mut res = Response::new(status);
     res.set_body(Body::from_string(text.into()));
     res
 }
 
-/// Builds an answer with JSON.
+/// Returns a response with JSON.
 pub fn json(value: &impl Serialize) -> Response {
     let mut res = Response::new(200);
     let body = serde_json::to_string(value).unwrap_or_default();
@@ -74,7 +74,7 @@
     res
 }
 
-/// Reads a JSON body, or answers 400.
+/// Parses a JSON body. Returns a response with status 400 if that fails.
 pub async fn read<T: DeserializeOwned>(req: &mut Request) -> Result<T, Response> {
     let body = req.body_bytes().await.map_err(|e| text(400, &e.to_string()))?;
     serde_json::from_slice(&body).map_err(|e| text(400, &e.to_string()))
--- a/crates/larkspring-standin/src/weights.rs
+++ b/crates/larkspring-standin/src/weights.rs
@@ -1,4 +1,5 @@
-//! Stand-in for the weight store: a rate, and a number of loads at full speed.
+//! Stand-in for the weight store, with a limited rate of loads and a limited number of
+//! concurrent loads at full speed.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -16,30 +17,30 @@
     state: Mutex<State>,
 }
 
-/// How the store behaves.
+/// Behaviour and faults of the store.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Loads a second; above it the store answers 429.
+    /// Maximum rate in loads per second; above it the store answers 429.
     pub rate: f64,
-    /// Loads at a time at full speed; more share it.
+    /// Number of concurrent loads at full speed; more loads share the bandwidth.
     pub concurrency: u32,
-    /// Time of one load at full speed, in milliseconds.
+    /// Duration of a load at full speed, in milliseconds.
     pub load_ms: u64,
-    /// Number of loads that fail.
+    /// Number of next loads that fail.
     pub fail: u64,
-    /// One load of this many fails; 0 for none.
+    /// Every load with a multiple of this number fails; 0 for none.
     pub fail_one_in: u64,
 }
 
-/// What the store saw.
+/// Number of loads by result.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Stats {
-    /// Loads that ended well.
+    /// Number of successful loads.
     pub served: u64,
-    /// Loads that were refused for the rate.
+    /// Number of loads refused because of the rate.
     pub refused: u64,
-    /// Loads that failed by a fault.
+    /// Number of loads that failed because of a fault.
     pub failed: u64,
 }
 
@@ -58,7 +59,7 @@
     }
 }
 
-/// Steps into which a load is cut, so that its speed follows the number of loads.
+/// Number of steps of a load. Each takes a time by the present number of loads.
 const SLICES: u32 = 10;
 
 impl Web for Weights {
@@ -81,7 +82,7 @@
 }
 
 impl Weights {
-    /// Creates a store that behaves as given.
+    /// Creates a store with this behaviour.
     pub fn new(faults: Faults) -> Self {
         Self { state: Mutex::new(State { faults, ..State::default() }) }
     }
@@ -109,7 +110,8 @@
         text(200, "weights")
     }
 
-    /// Takes a load from the rate, of which one second may be saved up.
+    /// Takes a token for a load from the token bucket, which holds the rate of one second.
+    /// Returns whether there was one.
     fn admit(&self) -> bool {
         let mut state = self.state.lock();
         let now = Instant::now();
@@ -133,7 +135,7 @@
     }
 }
 
-/// Counts a load for as long as it goes on.
+/// A guard that counts a load as active until it is dropped.
 struct Active<'a>(&'a Weights);
 
 impl<'a> Active<'a> {
--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -1,4 +1,5 @@
-//! Repository tasks: `cargo run -p xtask -- generate` writes the generated code.
+//! Repository tasks. `cargo run -p xtask -- generate` writes the code generated from the
+//! schema.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -33,7 +34,7 @@
     }
 }
 
-/// Writes the Rust types and service stubs of every schema file.
+/// Generates the Rust types and service stubs of every schema file.
 fn generate() -> Result<(), Box<dyn std::error::Error>> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
     let files = protox::compile(SCHEMAS, [root.join("schema")])?;
