--- a/crates/larkspring-standin/src/engine.rs
+++ b/crates/larkspring-standin/src/engine.rs
@@ -1,7 +1,8 @@
 //! Stand-in for a model engine: adapter slots, continuous batching and restarts.
 //!
-//! A step generates one token for each request of the batch. As on an accelerator, it takes
-//! a base time up to a number of requests (the knee), and more time for each further one.
+//! A step generates one token for each request of the batch. As on an accelerator, it
+//! takes a base time up to a number of requests (the knee), and more time for each
+//! further request.
 
 mod run;
 
--- a/crates/larkspring-standin/src/weights.rs
+++ b/crates/larkspring-standin/src/weights.rs
@@ -29,7 +29,7 @@
     pub load_ms: u64,
     /// Number of next loads that fail.
     pub fail: u64,
-    /// Every load with a multiple of this number fails; 0 for none.
+    /// Every n-th load fails, with this n; 0 for none.
     pub fail_one_in: u64,
 }
 
@@ -59,7 +59,7 @@
     }
 }
 
-/// Number of steps of a load. Each takes a time by the present number of loads.
+/// Number of steps of a load, so that its speed follows the number of active loads.
 const SLICES: u32 = 10;
 
 impl Web for Weights {
@@ -110,7 +110,7 @@
         text(200, "weights")
     }
 
-    /// Takes a token for a load from the token bucket, which holds the rate of one second.
+    /// Takes a token for a load from a bucket that holds the rate of one second.
     /// Returns whether there was one.
     fn admit(&self) -> bool {
         let mut state = self.state.lock();
