--- a/crates/larkspring-cli/src/args.rs
+++ b/crates/larkspring-cli/src/args.rs
@@ -9,7 +9,7 @@
 use larkspring_core::fleet::mechanisms::{Mechanism, Without};
 use larkspring_core::ids::ContentHash;
 
-use crate::quarantine::read_content;
+use crate::quarantine::parse_fingerprint;
 
 /// A serving layer for very many LoRA adapters.
 ///
@@ -108,14 +108,14 @@
     /// Serve a request again; agents apply this within 30 s.
     Lift {
         /// Fingerprint of the request, as in log lines: 16 hexadecimal digits.
-        #[arg(value_parser = read_content)]
+        #[arg(value_parser = parse_fingerprint)]
         content: ContentHash,
     },
     /// Refuse a request; agents that already refuse any apply this within 30 s, others
     /// when they start.
     Forbid {
         /// Fingerprint of the request, as in log lines: 16 hexadecimal digits.
-        #[arg(value_parser = read_content)]
+        #[arg(value_parser = parse_fingerprint)]
         content: ContentHash,
     },
 }
--- a/crates/larkspring-cli/src/decisions.rs
+++ b/crates/larkspring-cli/src/decisions.rs
@@ -21,11 +21,11 @@
     (49_000, 5_500),
     (49_000, 11_000),
 ];
-const KEY: &str = "key";
+const CALLER_KEY: &str = "key";
 const BASE: &str = "base";
-const CHOICES: usize = 20_000;
+const CHOICE_COUNT: usize = 20_000;
 /// Number of adapters that each endpoint holds, by its load report.
-const RESIDENT: u64 = 8;
+const RESIDENT_ADAPTERS: u64 = 8;
 
 /// Prints the mean time from the name of a model to the chosen endpoint, for each size.
 pub fn run() -> Result<(), AnyError> {
@@ -57,7 +57,7 @@
             .collect(),
         callers: vec![Caller {
             name: "c".into(),
-            key_sha256: key_hash(KEY),
+            key_sha256: key_hash(CALLER_KEY),
             ..Caller::default()
         }],
         endpoints: (0..endpoints)
@@ -80,12 +80,12 @@
     let now = Instant::now();
     let mut rng = fastrand::Rng::with_seed(1);
     for endpoint in state.endpoints() {
-        let resident = (0..RESIDENT).map(|_| rng.u64(..)).collect();
+        let resident = (0..RESIDENT_ADAPTERS).map(|_| rng.u64(..)).collect();
         router.learn(now, &endpoint.name, Hint { resident, ..Hint::default() });
     }
-    let caller = state.caller(KEY).ok_or("the caller is missing")?;
+    let caller = state.caller(CALLER_KEY).ok_or("the caller is missing")?;
     let names: Vec<_> =
-        (0..CHOICES).map(|_| format!("tenant-{}", rng.usize(..adapters))).collect();
+        (0..CHOICE_COUNT).map(|_| format!("tenant-{}", rng.usize(..adapters))).collect();
     let began = Instant::now();
     for name in &names {
         let choice = state.resolve(name, &caller)?;
@@ -93,5 +93,5 @@
         let near = state.engines_near(&choice.base, target);
         black_box(router.choose(now, &near, Some(target), &[], &mut rng));
     }
-    Ok(began.elapsed().as_secs_f64() * 1e6 / CHOICES as f64)
+    Ok(began.elapsed().as_secs_f64() * 1e6 / CHOICE_COUNT as f64)
 }
--- a/crates/larkspring-cli/src/deployment.rs
+++ b/crates/larkspring-cli/src/deployment.rs
@@ -15,7 +15,7 @@
 use larkspring_standin::engine::{Engine, Faults};
 use larkspring_standin::objects::Objects;
 use larkspring_standin::service::Service as ServiceStandin;
-use larkspring_standin::web::{start, Served};
+use larkspring_standin::web::{start_standin, RunningStandin};
 use larkspring_standin::weights::{Faults as WeightFaults, Weights};
 
 use crate::AnyError;
@@ -29,7 +29,7 @@
 
 /// Sizes and settings of a deployment.
 #[derive(Debug, Clone)]
-pub struct Shape {
+pub struct DeploymentSpec {
     /// Port of the first entry; 0 for any free port.
     pub port: u16,
     /// Number of entries.
@@ -56,48 +56,50 @@
     pub entries: Vec<Entry>,
     agents: Vec<Agent>,
     /// Stand-ins with their kinds.
-    pub standins: Vec<(&'static str, Served)>,
+    pub standins: Vec<(&'static str, RunningStandin)>,
     _log: LogGuard,
 }
 
 impl Deployment {
     /// Starts a deployment, which runs in the background, and publishes its declarations.
-    pub async fn start(shape: &Shape) -> Result<Self, AnyError> {
+    pub async fn start(spec: &DeploymentSpec) -> Result<Self, AnyError> {
         let any = SocketAddr::from((LOOPBACK, 0));
-        let objects = start(any, Arc::new(Objects::default())).await?;
-        let weights = start(any, Arc::new(Weights::new(shape.weights.clone()))).await?;
-        let service = start(any, Arc::new(ServiceStandin::default())).await?;
-        let log = start_log("local", tracing::Level::WARN, shape.spans, LogTo::Stderr);
-        let mut dev =
+        let objects = start_standin(any, Arc::new(Objects::default())).await?;
+        let weights =
+            start_standin(any, Arc::new(Weights::new(spec.weights.clone()))).await?;
+        let service = start_standin(any, Arc::new(ServiceStandin::default())).await?;
+        let log = start_log("local", tracing::Level::WARN, spec.spans, LogTo::Stderr);
+        let mut deployment =
             Self { entries: vec![], agents: vec![], standins: vec![], _log: log };
         let mut endpoints = Vec::new();
-        for n in 0..shape.engines {
+        for n in 0..spec.engines {
             let store = Some(weights.addr.to_string());
-            let engine = start(any, Engine::new(store, shape.engine.clone())).await?;
+            let engine =
+                start_standin(any, Engine::new(store, spec.engine.clone())).await?;
             let name = format!("engine-{n}");
-            let agent = start_agent(shape, &name, &engine, &objects).await?;
+            let agent = start_agent(spec, &name, &engine, &objects).await?;
             let base = BASE.to_owned();
             endpoints.push(Endpoint { base, ..endpoint(&name, &agent) });
-            dev.agents.push(agent);
-            dev.standins.push(("engine", engine));
+            deployment.agents.push(agent);
+            deployment.standins.push(("engine", engine));
         }
-        let agent = start_agent(shape, "service-0", &service, &objects).await?;
+        let agent = start_agent(spec, "service-0", &service, &objects).await?;
         let of_service = SERVICE.to_owned();
         endpoints.push(Endpoint { service: of_service, ..endpoint("service-0", &agent) });
-        dev.agents.push(agent);
+        deployment.agents.push(agent);
         let api = HttpObjects::new(&objects.addr.to_string(), API_TIMEOUT);
         let present = publish::present(&api).await?;
-        let all = declaration(shape.adapters, endpoints);
+        let all = declaration(spec.adapters, endpoints);
         publish::publish(&api, &present, &all, "dev").await?;
-        for n in 0..shape.entries {
-            let port = if n == 0 { shape.port } else { 0 };
-            let entry = Entry::start(&entry_settings(shape, port, &objects)?).await?;
-            dev.entries.push(entry);
+        for n in 0..spec.entries {
+            let port = if n == 0 { spec.port } else { 0 };
+            let entry = Entry::start(&entry_settings(spec, port, &objects)?).await?;
+            deployment.entries.push(entry);
         }
-        dev.standins.push(("objects", objects));
-        dev.standins.push(("weights", weights));
-        dev.standins.push(("service", service));
-        Ok(dev)
+        deployment.standins.push(("objects", objects));
+        deployment.standins.push(("weights", weights));
+        deployment.standins.push(("service", service));
+        Ok(deployment)
     }
 
     /// Shuts down entries and agents gracefully.
@@ -154,37 +156,41 @@
 }
 
 async fn start_agent(
-    shape: &Shape,
+    spec: &DeploymentSpec,
     name: &str,
-    backend: &Served,
-    objects: &Served,
+    backend: &RunningStandin,
+    objects: &RunningStandin,
 ) -> Result<Agent, AnyError> {
-    let settings = parse(
-        shape,
+    let settings = parse_settings(
+        spec,
         objects,
         &format!(
             "agent:\n  listen: 127.0.0.1:0\n  endpoint: {name}\n  backend: {}\n  slots: {}\n{}",
-            backend.addr, shape.engine.slots, shape.agent_settings
+            backend.addr, spec.engine.slots, spec.agent_settings
         ),
     )?;
     Ok(Agent::start(&settings).await?)
 }
 
 fn entry_settings(
-    shape: &Shape,
+    spec: &DeploymentSpec,
     port: u16,
-    objects: &Served,
+    objects: &RunningStandin,
 ) -> Result<Settings, AnyError> {
-    let part = format!("entry:\n  listen: 127.0.0.1:{port}\n{}", shape.entry_settings);
-    parse(shape, objects, &part)
+    let part = format!("entry:\n  listen: 127.0.0.1:{port}\n{}", spec.entry_settings);
+    parse_settings(spec, objects, &part)
 }
 
-fn parse(shape: &Shape, objects: &Served, part: &str) -> Result<Settings, AnyError> {
+fn parse_settings(
+    spec: &DeploymentSpec,
+    objects: &RunningStandin,
+    part: &str,
+) -> Result<Settings, AnyError> {
     let text = format!(
         "hall: hall-0\nvm: dev\nplatform: {{ objects: '{}', load_rate: {:.3}, \
          load_concurrency: {} }}\n\
          telemetry: {{ level: warn, spans: {} }}\n{part}\n",
-        objects.addr, shape.weights.rate, shape.weights.concurrency, shape.spans
+        objects.addr, spec.weights.rate, spec.weights.concurrency, spec.spans
     );
     Ok(settings::parse("dev", &text)?)
 }
--- a/crates/larkspring-cli/src/dev.rs
+++ b/crates/larkspring-cli/src/dev.rs
@@ -5,13 +5,13 @@
 use larkspring_standin::weights::Faults as WeightFaults;
 
 use crate::args::DevArgs;
-use crate::deployment::{Deployment, Shape, DEV_KEY};
-use crate::process::stop_requested;
+use crate::deployment::{Deployment, DeploymentSpec, DEV_KEY};
+use crate::process::wait_for_stop;
 use crate::AnyError;
 
 /// Runs the deployment until a signal stops it.
 pub fn run(args: &DevArgs) -> Result<(), AnyError> {
-    let shape = Shape {
+    let spec = DeploymentSpec {
         port: args.port,
         entries: args.entries,
         engines: args.engines,
@@ -23,22 +23,22 @@
         spans: args.spans,
     };
     exec::run(exec::DEPLOYMENT_THREADS, async {
-        let dev = Deployment::start(&shape).await?;
-        print(&dev);
-        stop_requested().await;
-        dev.stop().await;
+        let deployment = Deployment::start(&spec).await?;
+        print(&deployment);
+        wait_for_stop().await;
+        deployment.stop().await;
         Ok(())
     })
 }
 
-fn print(dev: &Deployment) {
-    for (name, served) in &dev.standins {
+fn print(deployment: &Deployment) {
+    for (name, served) in &deployment.standins {
         println!("stand-in {name}: http://{}", served.addr);
     }
-    for entry in &dev.entries {
+    for entry in &deployment.entries {
         println!("entry: http://{}", entry.addr);
     }
-    let addr = dev.entries.first().map(|e| e.addr.to_string()).unwrap_or_default();
+    let addr = deployment.entries.first().map(|e| e.addr.to_string()).unwrap_or_default();
     println!("\nTry:\ncurl -N http://{addr}/v1/completions \\");
     println!("  -H 'authorization: Bearer {DEV_KEY}' \\");
     println!(
--- a/crates/larkspring-cli/src/experiment.rs
+++ b/crates/larkspring-cli/src/experiment.rs
@@ -14,31 +14,31 @@
 use smol::Timer;
 
 use crate::args::{ExperimentArgs, Profile, Scenario};
-use crate::deployment::{Deployment, Shape, DEV_KEY};
+use crate::deployment::{Deployment, DeploymentSpec, DEV_KEY};
 use crate::load::arrivals::{fewest_loads, Arrival, Workload};
 use crate::load::client::Target;
-use crate::load::drive;
 use crate::load::report::Report;
+use crate::load::send_load;
 use crate::AnyError;
 
-const ADAPTERS: usize = 3000;
-const ENTRIES: usize = 3;
-const SLOTS: usize = 8;
+const ADAPTER_COUNT: usize = 3000;
+const ENTRY_COUNT: usize = 3;
+const ADAPTER_SLOTS: usize = 8;
 const KNEE: usize = 16;
-const ZIPF: f64 = 1.1;
-const TOKENS: u64 = 100;
-const CALL_LIMIT: Duration = Duration::from_secs(10);
+const ZIPF_EXPONENT: f64 = 1.1;
+const MEAN_TOKENS: u64 = 100;
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 /// Delay before a load, in which agents and entries become ready.
-const READY: Duration = Duration::from_secs(5);
+const READY_DELAY: Duration = Duration::from_secs(5);
 /// Length of the warm-up as a multiple of the measurement's length.
-const WARM_UP: f64 = 1.0;
+const WARM_UP_RATIO: f64 = 1.0;
 /// Fraction of warm-up and measurement after which other adapters become popular.
-const SHIFT_AT: f64 = 0.6;
+const SHIFT_FRACTION: f64 = 0.6;
 /// Number of the adapter that receives half of the requests in [`Scenario::Hot`].
-const HOT: usize = 17;
+const HOT_ADAPTER: usize = 17;
 
 /// Sizes and rates of a deployment.
-struct Sizes {
+struct ProfileSizes {
     engines: usize,
     rate: f64,
     load_rate: f64,
@@ -46,7 +46,7 @@
 }
 
 /// Results of a policy.
-struct Outcome {
+struct PolicyResult {
     policy: String,
     report: Report,
     loads: u64,
@@ -59,17 +59,18 @@
     let sizes = sizes(args.profile);
     let (warm_up, arrivals) = arrivals(args, &sizes);
     let all: Vec<_> = warm_up.iter().chain(&arrivals).cloned().collect();
-    let slots = sizes.engines * SLOTS;
+    let slots = sizes.engines * ADAPTER_SLOTS;
     let bound = fewest_loads(&all, slots) - fewest_loads(&warm_up, slots);
     println!("{} requests, {bound} loads at least", arrivals.len());
-    let outcomes = exec::run(exec::DEPLOYMENT_THREADS, async {
-        let mut outcomes = Vec::new();
+    let results = exec::run(exec::DEPLOYMENT_THREADS, async {
+        let mut results = Vec::new();
         for policy in &args.policies {
-            let outcome = measure(args, &sizes, policy, &warm_up, &arrivals).await?;
-            println!("{}", outcome.line());
-            outcomes.push(outcome);
+            let result =
+                measure_policy(args, &sizes, policy, &warm_up, &arrivals).await?;
+            println!("{}", result.line());
+            results.push(result);
         }
-        Ok::<_, AnyError>(outcomes)
+        Ok::<_, AnyError>(results)
     })?;
     let figures = json!({
         "scenario": format!("{:?}", args.scenario),
@@ -77,7 +78,7 @@
         "seed": args.seed,
         "load": args.load,
         "fewest_loads": bound,
-        "policies": outcomes.iter().map(Outcome::json).collect::<Vec<_>>(),
+        "policies": results.iter().map(PolicyResult::json).collect::<Vec<_>>(),
     });
     if let Some(file) = &args.json {
         std::fs::write(file, serde_json::to_string_pretty(&figures)?)?;
@@ -88,37 +89,37 @@
     Ok(())
 }
 
-fn sizes(profile: Profile) -> Sizes {
+fn sizes(profile: Profile) -> ProfileSizes {
     match profile {
         Profile::Agency => {
-            Sizes { engines: 18, rate: 18.0, load_rate: 9.0, load_concurrency: 4 }
+            ProfileSizes { engines: 18, rate: 18.0, load_rate: 9.0, load_concurrency: 4 }
         }
         Profile::Delta => {
-            Sizes { engines: 12, rate: 9.0, load_rate: 4.0, load_concurrency: 3 }
+            ProfileSizes { engines: 12, rate: 9.0, load_rate: 4.0, load_concurrency: 3 }
         }
     }
 }
 
 /// Generates the arrivals of the warm-up and of the measurement.
-fn arrivals(args: &ExperimentArgs, sizes: &Sizes) -> (Vec<Arrival>, Vec<Arrival>) {
+fn arrivals(args: &ExperimentArgs, sizes: &ProfileSizes) -> (Vec<Arrival>, Vec<Arrival>) {
     let factor = if args.scenario == Scenario::Priorities { 2.0 } else { 1.0 };
-    let shift = matches!(args.scenario, Scenario::Shift).then_some(SHIFT_AT);
+    let shift = matches!(args.scenario, Scenario::Shift).then_some(SHIFT_FRACTION);
     let workload = Workload {
         rate: sizes.rate * args.load * factor,
-        seconds: args.seconds * (1.0 + WARM_UP),
-        adapters: ADAPTERS,
-        zipf: ZIPF,
-        tokens: TOKENS,
+        seconds: args.seconds * (1.0 + WARM_UP_RATIO),
+        adapters: ADAPTER_COUNT,
+        zipf: ZIPF_EXPONENT,
+        tokens: MEAN_TOKENS,
         seed: args.seed,
-        shift_at: shift,
+        shift_fraction: shift,
         urgent_percent: if args.scenario == Scenario::Priorities { 10 } else { 0 },
     };
     let mut all = workload.arrivals();
-    let start = (args.seconds * WARM_UP * 1e6) as u64;
+    let start = (args.seconds * WARM_UP_RATIO * 1e6) as u64;
     if args.scenario == Scenario::Hot {
         let half = start + (args.seconds * 0.5e6) as u64;
         let late = all.iter_mut().filter(|a| a.at_us >= half);
-        late.step_by(2).for_each(|a| a.adapter = HOT);
+        late.step_by(2).for_each(|a| a.adapter = HOT_ADAPTER);
     }
     if args.scenario == Scenario::ColdStart {
         all.retain(|a| a.at_us >= start);
@@ -134,16 +135,16 @@
     arrivals.iter_mut().for_each(|a| a.at_us -= by);
 }
 
-async fn measure(
+async fn measure_policy(
     args: &ExperimentArgs,
-    sizes: &Sizes,
+    sizes: &ProfileSizes,
     policy: &str,
     warm_up: &[Arrival],
     arrivals: &[Arrival],
-) -> Result<Outcome, AnyError> {
-    let dev = Deployment::start(&shape(args, sizes, policy)).await?;
-    Timer::after(READY).await;
-    let targets: Vec<_> = dev
+) -> Result<PolicyResult, AnyError> {
+    let deployment = Deployment::start(&deployment_spec(args, sizes, policy)).await?;
+    Timer::after(READY_DELAY).await;
+    let targets: Vec<_> = deployment
         .entries
         .iter()
         .map(|entry| Target {
@@ -152,15 +153,18 @@
             keyed: false,
         })
         .collect();
-    drive(warm_up, &targets, "tenant").await;
-    let before = engine_totals(&dev).await?;
-    let restarts =
-        exec::spawn(restart_engines(args.scenario, engines(&dev), args.seconds));
-    let report = drive(arrivals, &targets, "tenant").await;
+    send_load(warm_up, &targets, "tenant").await;
+    let before = engine_totals(&deployment).await?;
+    let restarts = exec::spawn(restart_engines(
+        args.scenario,
+        engine_addrs(&deployment),
+        args.seconds,
+    ));
+    let report = send_load(arrivals, &targets, "tenant").await;
     drop(restarts);
-    let after = engine_totals(&dev).await?;
-    dev.stop().await;
-    Ok(Outcome {
+    let after = engine_totals(&deployment).await?;
+    deployment.stop().await;
+    Ok(PolicyResult {
         policy: policy.into(),
         report,
         loads: after.loads - before.loads,
@@ -169,17 +173,21 @@
     })
 }
 
-fn shape(args: &ExperimentArgs, sizes: &Sizes, policy: &str) -> Shape {
+fn deployment_spec(
+    args: &ExperimentArgs,
+    sizes: &ProfileSizes,
+    policy: &str,
+) -> DeploymentSpec {
     let slow = if args.scenario == Scenario::SlowStore { 3.0 } else { 1.0 };
     let load_rate = sizes.load_rate / slow;
     let concurrency = sizes.load_concurrency;
     let fail_one_in = if args.scenario == Scenario::FailingLoads { 4 } else { 0 };
-    Shape {
+    DeploymentSpec {
         port: 0,
-        entries: ENTRIES,
+        entries: ENTRY_COUNT,
         engines: sizes.engines,
-        adapters: ADAPTERS,
-        engine: Faults { slots: SLOTS, knee: KNEE, ..Faults::default() },
+        adapters: ADAPTER_COUNT,
+        engine: Faults { slots: ADAPTER_SLOTS, knee: KNEE, ..Faults::default() },
         weights: WeightFaults {
             rate: load_rate,
             concurrency,
@@ -206,21 +214,21 @@
     for addr in engines {
         Timer::after(pause).await;
         if let Ok(req) = request(Method::Post, &addr, "/restart") {
-            let _ = fetch(&addr, req, CALL_LIMIT).await;
+            let _ = fetch(&addr, req, CALL_TIMEOUT).await;
         }
     }
 }
 
-fn engines(dev: &Deployment) -> Vec<String> {
-    let engines = dev.standins.iter().filter(|(name, _)| *name == "engine");
+fn engine_addrs(deployment: &Deployment) -> Vec<String> {
+    let engines = deployment.standins.iter().filter(|(name, _)| *name == "engine");
     engines.map(|(_, served)| served.addr.to_string()).collect()
 }
 
-async fn engine_totals(dev: &Deployment) -> Result<Stats, AnyError> {
+async fn engine_totals(deployment: &Deployment) -> Result<Stats, AnyError> {
     let mut all = Stats::default();
-    for addr in engines(dev) {
+    for addr in engine_addrs(deployment) {
         let req = request(Method::Get, &addr, "/totals")?;
-        let (_, body) = fetch(&addr, req, CALL_LIMIT).await?;
+        let (_, body) = fetch(&addr, req, CALL_TIMEOUT).await?;
         let stats: Stats = serde_json::from_slice(&body)?;
         all.loads += stats.loads;
         all.steps += stats.steps;
@@ -229,7 +237,7 @@
     Ok(all)
 }
 
-impl Outcome {
+impl PolicyResult {
     /// Returns the generated tokens as a fraction of those that the steps could have
     /// generated with [`KNEE`] requests each.
     fn efficiency(&self) -> f64 {
--- a/crates/larkspring-cli/src/experiment/html.rs
+++ b/crates/larkspring-cli/src/experiment/html.rs
@@ -6,15 +6,15 @@
 /// A bar chart of one result over the policies.
 struct Plot {
     title: &'static str,
-    path: &'static str,
+    pointer: &'static str,
 }
 
 const PLOTS: [Plot; 5] = [
-    Plot { title: "Load stall in all, seconds", path: "/stall_s" },
-    Plot { title: "Load stall p99, ms", path: "/stall_ms/p99" },
-    Plot { title: "First byte p99, ms", path: "/first_byte_ms/p99" },
-    Plot { title: "Loads for a hundred requests", path: "/loads_per_hundred" },
-    Plot { title: "Batch efficiency", path: "/batch_efficiency" },
+    Plot { title: "Load stall in all, seconds", pointer: "/stall_s" },
+    Plot { title: "Load stall p99, ms", pointer: "/stall_ms/p99" },
+    Plot { title: "First byte p99, ms", pointer: "/first_byte_ms/p99" },
+    Plot { title: "Loads for a hundred requests", pointer: "/loads_per_hundred" },
+    Plot { title: "Batch efficiency", pointer: "/batch_efficiency" },
 ];
 const SIZE: (u32, u32) = (480, 260);
 const FONT: (&str, u32) = ("sans-serif", 16);
@@ -22,7 +22,8 @@
 /// Returns the page for the results of an experiment.
 pub fn page(figures: &Value) -> String {
     let policies = figures["policies"].as_array().cloned().unwrap_or_default();
-    let plots: String = PLOTS.iter().filter_map(|p| draw(p, &policies).ok()).collect();
+    let plots: String =
+        PLOTS.iter().filter_map(|p| draw_svg(p, &policies).ok()).collect();
     let head = format!(
         "{} on {}, load {}, seed {}",
         figures["scenario"], figures["profile"], figures["load"], figures["seed"]
@@ -34,8 +35,12 @@
     )
 }
 
-fn draw(plot: &Plot, policies: &[Value]) -> Result<String, Box<dyn std::error::Error>> {
-    let value = |p: &Value| p.pointer(plot.path).and_then(Value::as_f64).unwrap_or(0.0);
+fn draw_svg(
+    plot: &Plot,
+    policies: &[Value],
+) -> Result<String, Box<dyn std::error::Error>> {
+    let value =
+        |p: &Value| p.pointer(plot.pointer).and_then(Value::as_f64).unwrap_or(0.0);
     let values: Vec<_> = policies.iter().map(value).collect();
     let top = values.iter().copied().fold(0.0, f64::max).max(1e-9) * 1.1;
     let mut svg = String::new();
--- a/crates/larkspring-cli/src/explain.rs
+++ b/crates/larkspring-cli/src/explain.rs
@@ -11,18 +11,18 @@
 use crate::AnyError;
 
 /// Events that change the replicated state of a process, independent of a request.
-const BELIEFS: [&str; 5] =
+const STATE_EVENTS: [&str; 5] =
     ["routing in force", "dependency lost", "dependency regained", "start", "stop"];
 /// Maximum number of lines shown from before the request's first line.
-const SHOWN_BELIEFS: usize = 8;
+const MAX_EARLIER_LINES: usize = 8;
 /// Fields that are printed in front of the others, or not at all.
-const PLACED_FIELDS: [&str; 7] =
+const OMITTED_FIELDS: [&str; 7] =
     ["timestamp", "vm", "event", "level", "target", "request", "fields"];
 
 /// Prints the last state changes before a request, then the lines about it, by time.
 pub fn run(args: &ExplainArgs) -> Result<(), AnyError> {
-    let lines = read(&args.logs)?;
-    let shown = history(&lines, &args.id);
+    let lines = read_lines(&args.logs)?;
+    let shown = lines_of_request(&lines, &args.id);
     if shown.is_empty() {
         let text = "no line names the request; lines may have been left out";
         return Err(format!("{}: {text}", args.id).into());
@@ -44,17 +44,17 @@
 }
 
 /// Reads the lines of log files, or of standard input if `files` is empty, by time.
-pub fn read(files: &[PathBuf]) -> Result<Vec<Line>, AnyError> {
+pub fn read_lines(files: &[PathBuf]) -> Result<Vec<Line>, AnyError> {
     let mut lines = Vec::new();
     if files.is_empty() {
         let mut text = String::new();
         std::io::stdin().read_to_string(&mut text)?;
-        lines.extend(parse("-", &text));
+        lines.extend(parse_lines("-", &text));
     }
     for file in files {
         let name = file.display().to_string();
         let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: {e}"))?;
-        lines.extend(parse(&name, &text));
+        lines.extend(parse_lines(&name, &text));
     }
     lines.sort_by(|a, b| a.time.cmp(&b.time));
     Ok(lines)
@@ -62,33 +62,34 @@
 
 /// Returns the lines to show for a request: those that name it, and lines about its VMs'
 /// state, its endpoints and other requests with its fingerprint.
-fn history<'a>(lines: &'a [Line], id: &str) -> Vec<&'a Line> {
+fn lines_of_request<'a>(lines: &'a [Line], id: &str) -> Vec<&'a Line> {
     let of_request: Vec<_> = lines.iter().filter(|l| l.field("request") == id).collect();
     let Some(first) = of_request.first() else { return Vec::new() };
     let last = of_request.last().map_or("", |l| &l.time);
     let vms: BTreeSet<_> = of_request.iter().map(|l| &l.vm).collect();
     let endpoints: BTreeSet<_> = of_request.iter().map(|l| l.field("endpoint")).collect();
     // Crashes under other requests with the same fingerprint lead to its refusal.
-    let contents: BTreeSet<_> = of_request.iter().map(|l| l.field("content")).collect();
-    let concerns = |l: &&Line| {
-        let belief = BELIEFS.contains(&l.field("event")) && vms.contains(&l.vm);
+    let fingerprints: BTreeSet<_> =
+        of_request.iter().map(|l| l.field("content")).collect();
+    let is_related = |l: &&Line| {
+        let of_state = STATE_EVENTS.contains(&l.field("event")) && vms.contains(&l.vm);
         let endpoint = l.field("endpoint");
         let of_endpoint = l.field("request").is_empty()
             && !endpoint.is_empty()
             && endpoints.contains(endpoint);
         let content = l.field("content");
-        let of_content = !content.is_empty() && contents.contains(content);
-        belief || of_endpoint || of_content
+        let of_fingerprint = !content.is_empty() && fingerprints.contains(content);
+        of_state || of_endpoint || of_fingerprint
     };
     let before: Vec<_> =
-        lines.iter().filter(|l| l.time < first.time).filter(concerns).collect();
+        lines.iter().filter(|l| l.time < first.time).filter(is_related).collect();
     let during = lines.iter().filter(|l| l.time >= first.time && *l.time <= *last);
-    let during = during.filter(|l| l.field("request") == id || concerns(l));
-    let skipped = before.len().saturating_sub(SHOWN_BELIEFS);
+    let during = during.filter(|l| l.field("request") == id || is_related(l));
+    let skipped = before.len().saturating_sub(MAX_EARLIER_LINES);
     before[skipped..].iter().copied().chain(during).collect()
 }
 
-fn parse<'a>(file: &'a str, text: &'a str) -> impl Iterator<Item = Line> + 'a {
+fn parse_lines<'a>(file: &'a str, text: &'a str) -> impl Iterator<Item = Line> + 'a {
     let file: Arc<str> = file.into();
     // Log collectors may add a prefix to each line. Lines without JSON, for example of
     // other programs in the same stream, are skipped.
@@ -116,7 +117,7 @@
     fn text(&self) -> String {
         let mut text = format!("{}  {}  {}", self.time, self.vm, self.field("event"));
         for (name, value) in &self.fields {
-            if !PLACED_FIELDS.contains(&name.as_str()) {
+            if !OMITTED_FIELDS.contains(&name.as_str()) {
                 text += &format!("  {name}={value}");
             }
         }
--- a/crates/larkspring-cli/src/load/arrivals.rs
+++ b/crates/larkspring-cli/src/load/arrivals.rs
@@ -20,7 +20,7 @@
     /// Seed of the random numbers.
     pub seed: u64,
     /// Fraction of the length after which other adapters become popular.
-    pub shift_at: Option<f64>,
+    pub shift_fraction: Option<f64>,
     /// Percentage of urgent requests.
     pub urgent_percent: u32,
 }
@@ -38,17 +38,17 @@
     pub priority: u32,
 }
 
-const URGENT: u32 = 0;
-const ORDINARY: u32 = 5;
+const URGENT_PRIORITY: u32 = 0;
+const ORDINARY_PRIORITY: u32 = 5;
 
 impl Workload {
     /// Generates the arrivals in order of time.
     pub fn arrivals(&self) -> Vec<Arrival> {
         let mut rng = Rng::with_seed(self.seed);
-        let skew = Skew::new(self.adapters, self.zipf);
-        let mut places: Vec<_> = (0..self.adapters).collect();
-        rng.shuffle(&mut places);
-        let mut shift = self.shift_at.map(|share| share * self.seconds);
+        let distribution = Zipf::new(self.adapters, self.zipf);
+        let mut adapter_by_rank: Vec<_> = (0..self.adapters).collect();
+        rng.shuffle(&mut adapter_by_rank);
+        let mut shift = self.shift_fraction.map(|share| share * self.seconds);
         let mut arrivals = Vec::new();
         let mut at = 0.0;
         loop {
@@ -57,14 +57,14 @@
                 return arrivals;
             }
             if shift.take_if(|shift| at >= *shift).is_some() {
-                rng.shuffle(&mut places);
+                rng.shuffle(&mut adapter_by_rank);
             }
             let urgent = rng.u32(..100) < self.urgent_percent;
             arrivals.push(Arrival {
                 at_us: (at * 1e6) as u64,
-                adapter: places[skew.draw(&mut rng)],
+                adapter: adapter_by_rank[distribution.sample(&mut rng)],
                 tokens: rng.u64(1..=self.tokens * 2 - 1),
-                priority: if urgent { URGENT } else { ORDINARY },
+                priority: if urgent { URGENT_PRIORITY } else { ORDINARY_PRIORITY },
             });
         }
     }
@@ -100,22 +100,22 @@
 }
 
 /// A Zipf distribution: the probability of a rank falls as a power of the rank.
-struct Skew {
+struct Zipf {
     cumulative: Vec<f64>,
 }
 
-impl Skew {
+impl Zipf {
     fn new(count: usize, exponent: f64) -> Self {
         let mut sum = 0.0;
-        let weight = |place: usize| (place as f64 + 1.0).powf(-exponent);
-        let cumulative = (0..count).map(|place| {
-            sum += weight(place);
+        let weight = |rank: usize| (rank as f64 + 1.0).powf(-exponent);
+        let cumulative = (0..count).map(|rank| {
+            sum += weight(rank);
             sum
         });
         Self { cumulative: cumulative.collect() }
     }
 
-    fn draw(&self, rng: &mut Rng) -> usize {
+    fn sample(&self, rng: &mut Rng) -> usize {
         let all = self.cumulative.last().copied().unwrap_or(1.0);
         let drawn = rng.f64() * all;
         self.cumulative.partition_point(|sum| *sum < drawn).min(self.cumulative.len() - 1)
--- a/crates/larkspring-cli/src/load/client.rs
+++ b/crates/larkspring-cli/src/load/client.rs
@@ -41,19 +41,19 @@
     pub tokens: u64,
 }
 
-const CONNECT_LIMIT: Duration = Duration::from_secs(5);
-const LIMIT: Duration = Duration::from_secs(60);
-const LIMIT_MS: &str = "60000";
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(60);
+const DEADLINE_MS: &str = "60000";
 const STREAM_END: &str = "data: [DONE]\n\n";
 const READ_SIZE: usize = 8192;
 
 /// Sends a request and reads its answer to the end.
 pub async fn send(target: &Target, arrival: &Arrival, name: &str) -> Sample {
-    let late = async {
-        Timer::after(LIMIT * 2).await;
+    let timed_out = async {
+        Timer::after(REQUEST_TIMEOUT * 2).await;
         Sample { outcome: "client time-out".into(), ..Sample::default() }
     };
-    let mut sample = try_send(target, arrival, name).or(late).await;
+    let mut sample = try_send(target, arrival, name).or(timed_out).await;
     sample.urgent = arrival.priority == 0;
     sample.tokens = arrival.tokens;
     sample
@@ -61,7 +61,7 @@
 
 async fn try_send(target: &Target, arrival: &Arrival, name: &str) -> Sample {
     let start = Instant::now();
-    let failed = |what: String| Sample { outcome: what, ..Sample::default() };
+    let failed = |outcome: String| Sample { outcome, ..Sample::default() };
     let mut req = match request(Method::Post, &target.addr, "/v1/completions") {
         Ok(req) => req,
         Err(e) => return failed(e.to_string()),
@@ -71,7 +71,7 @@
         "max_tokens": arrival.tokens });
     req.set_body(body.to_string());
     req.insert_header("content-type", "application/json");
-    req.insert_header("larkspring-deadline-ms", LIMIT_MS);
+    req.insert_header("larkspring-deadline-ms", DEADLINE_MS);
     req.insert_header("larkspring-priority", arrival.priority.to_string());
     if target.keyed {
         req.insert_header("larkspring-repeatable", "no");
@@ -80,7 +80,7 @@
     if !target.key.is_empty() {
         req.insert_header("authorization", format!("Bearer {}", target.key));
     }
-    let sock = match connect(&target.addr, CONNECT_LIMIT).await {
+    let sock = match connect(&target.addr, CONNECT_TIMEOUT).await {
         Ok(sock) => sock,
         Err(e) => return failed(format!("connect: {e}")),
     };
@@ -91,28 +91,28 @@
     if res.status() != 200 {
         return failed(refusal(&mut res).await);
     }
-    read(&mut res, start).await
+    read_answer(&mut res, start).await
 }
 
-async fn read(res: &mut Response, start: Instant) -> Sample {
+async fn read_answer(res: &mut Response, start: Instant) -> Sample {
     let header = res.header("larkspring-load-wait-us").map(|v| v.as_str());
     let load_wait = header.and_then(|v| v.parse().ok()).unwrap_or_default();
     let mut sample =
         Sample { load_wait: Duration::from_micros(load_wait), ..Sample::default() };
     let mut body = res.take_body();
     let mut buf = vec![0; READ_SIZE];
-    let mut tail = String::new();
+    let mut last_read = String::new();
     let mut first = None;
     while let Ok(n @ 1..) = body.read(&mut buf).await {
         first.get_or_insert_with(Instant::now);
         sample.chunks += 1;
-        tail = String::from_utf8_lossy(&buf[..n]).into_owned();
+        last_read = String::from_utf8_lossy(&buf[..n]).into_owned();
     }
     let first = first.unwrap_or(start);
     sample.first_byte = first - start;
     sample.rest = first.elapsed();
-    let whole = tail.ends_with(STREAM_END);
-    sample.outcome = if whole { "ok" } else { "broken" }.into();
+    let complete = last_read.ends_with(STREAM_END);
+    sample.outcome = if complete { "ok" } else { "broken" }.into();
     sample
 }
 
--- a/crates/larkspring-cli/src/load/mod.rs
+++ b/crates/larkspring-cli/src/load/mod.rs
@@ -27,7 +27,7 @@
         zipf: args.zipf,
         tokens: args.tokens,
         seed: args.seed,
-        shift_at: None,
+        shift_fraction: None,
         urgent_percent: 0,
     };
     let arrivals = workload.arrivals();
@@ -36,7 +36,7 @@
         if let Some(engine) = &args.engine {
             let direct =
                 [Target { addr: engine.clone(), key: String::new(), keyed: false }];
-            reports.push(("direct", drive(&arrivals, &direct, &args.name).await));
+            reports.push(("direct", send_load(&arrivals, &direct, &args.name).await));
         }
         let entries: Vec<_> = args
             .entry
@@ -47,18 +47,18 @@
                 keyed: args.keyed,
             })
             .collect();
-        let middle = Usage::of(&args.watch);
-        reports.push(("entry", drive(&arrivals, &entries, &args.name).await));
-        let after = Usage::of(&args.watch);
+        let before = Usage::read_all(&args.watch);
+        reports.push(("entry", send_load(&arrivals, &entries, &args.name).await));
+        let after = Usage::read_all(&args.watch);
         for (name, report) in &reports {
             println!("{name}: {}", report.summary());
         }
         let chunks = reports.last().map_or(0, |(_, r)| r.chunks);
-        for (middle, after) in middle.iter().zip(&after) {
-            println!("{}", after.since(middle, chunks));
+        for (before, after) in before.iter().zip(&after) {
+            println!("{}", after.describe_since(before, chunks));
         }
         if let [(_, direct), (_, entry)] = &reports[..] {
-            println!("{}", entry.added_to(direct));
+            println!("{}", entry.latency_added_to(direct));
         }
         Ok(())
     })
@@ -66,7 +66,7 @@
 
 /// Sends each request at its arrival time without waiting for earlier answers, in turn to
 /// the targets, and collects the results.
-pub async fn drive(arrivals: &[Arrival], targets: &[Target], name: &str) -> Report {
+pub async fn send_load(arrivals: &[Arrival], targets: &[Target], name: &str) -> Report {
     let start = Instant::now();
     let targets: Arc<[Target]> = targets.into();
     let mut tasks = Vec::new();
--- a/crates/larkspring-cli/src/load/report.rs
+++ b/crates/larkspring-cli/src/load/report.rs
@@ -26,12 +26,12 @@
 }
 
 /// Shorter waits for an adapter don't count as stalls.
-const STALL: Duration = Duration::from_millis(10);
-const DIGITS: u8 = 3;
+const MIN_STALL: Duration = Duration::from_millis(10);
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 impl Default for Report {
     fn default() -> Self {
-        let new = || Histogram::new(DIGITS).expect("three digits are valid");
+        let new = || Histogram::new(SIGNIFICANT_DIGITS).expect("three digits are valid");
         Self {
             outcomes: BTreeMap::new(),
             first_byte: new(),
@@ -86,18 +86,18 @@
 
     /// Returns the fraction of complete answers that waited for an adapter.
     pub fn stalled_share(&self) -> f64 {
-        let below = self.load_wait.count_between(0, STALL.as_micros() as u64);
+        let below = self.load_wait.count_between(0, MIN_STALL.as_micros() as u64);
         1.0 - below as f64 / self.load_wait.len().max(1) as f64
     }
 
     /// Returns a percentile of the time to the first byte, in milliseconds.
-    pub fn first_ms(&self, percentile: f64) -> f64 {
+    pub fn first_byte_ms(&self, percentile: f64) -> f64 {
         self.first_byte.value_at_quantile(percentile / 100.0) as f64 / 1000.0
     }
 
     /// Returns a percentile of the time to the first byte of urgent requests, in
     /// milliseconds.
-    pub fn urgent_first_ms(&self, percentile: f64) -> f64 {
+    pub fn urgent_first_byte_ms(&self, percentile: f64) -> f64 {
         self.urgent_first_byte.value_at_quantile(percentile / 100.0) as f64 / 1000.0
     }
 
@@ -108,8 +108,8 @@
              stall {:.1} s in all, p99 {:.0} ms, {:.1}% stalled, others {:?}",
             self.requests(),
             self.ok(),
-            self.first_ms(50.0),
-            self.first_ms(99.0),
+            self.first_byte_ms(50.0),
+            self.first_byte_ms(99.0),
             self.gap.value_at_quantile(0.5),
             self.gap.value_at_quantile(0.99),
             self.stall_seconds(),
@@ -120,8 +120,8 @@
     }
 
     /// Returns a line of text with the latency added over `direct`.
-    pub fn added_to(&self, direct: &Self) -> String {
-        let first = |p: f64| self.first_ms(p) - direct.first_ms(p);
+    pub fn latency_added_to(&self, direct: &Self) -> String {
+        let first = |p: f64| self.first_byte_ms(p) - direct.first_byte_ms(p);
         let gap = |q: f64| {
             self.gap.value_at_quantile(q) as f64 / direct.gap.value_at_quantile(q) as f64
         };
@@ -130,8 +130,8 @@
              gap between tokens: ratio p50 {:.3}, p99 {:.3}",
             first(50.0) * 1000.0,
             first(99.0) * 1000.0,
-            self.first_ms(50.0) / direct.first_ms(50.0),
-            self.first_ms(99.0) / direct.first_ms(99.0),
+            self.first_byte_ms(50.0) / direct.first_byte_ms(50.0),
+            self.first_byte_ms(99.0) / direct.first_byte_ms(99.0),
             gap(0.5),
             gap(0.99),
         )
@@ -143,9 +143,11 @@
             "requests": self.requests(),
             "ok": self.ok(),
             "outcomes": self.outcomes,
-            "first_byte_ms": { "p50": self.first_ms(50.0), "p99": self.first_ms(99.0) },
+            "first_byte_ms": {
+                "p50": self.first_byte_ms(50.0), "p99": self.first_byte_ms(99.0) },
             "urgent_first_byte_ms": {
-                "p50": self.urgent_first_ms(50.0), "p99": self.urgent_first_ms(99.0) },
+                "p50": self.urgent_first_byte_ms(50.0),
+                "p99": self.urgent_first_byte_ms(99.0) },
             "stall_s": self.stall_seconds(),
             "stall_ms": { "p50": self.stall_ms(50.0), "p99": self.stall_ms(99.0) },
             "stalled_share": self.stalled_share(),
--- a/crates/larkspring-cli/src/load/usage.rs
+++ b/crates/larkspring-cli/src/load/usage.rs
@@ -14,18 +14,18 @@
 /// Length of a clock tick of `/proc/PID/stat`, in microseconds.
 const TICK_US: u64 = 10_000;
 /// Indexes of user and system time among the fields after the program's name.
-const USER_TIME: usize = 11;
-const SYSTEM_TIME: usize = 12;
+const USER_TIME_FIELD: usize = 11;
+const SYSTEM_TIME_FIELD: usize = 12;
 
 impl Usage {
     /// Returns the usage of each process; zero for a process that has ended.
-    pub fn of(pids: &[u32]) -> Vec<Self> {
+    pub fn read_all(pids: &[u32]) -> Vec<Self> {
         pids.iter().map(|pid| Self::read(*pid).unwrap_or_default()).collect()
     }
 
     /// Returns a line of text with the CPU time since `before`, in total and for each of
     /// `chunks` relayed reads, and with the memory.
-    pub fn since(&self, before: &Self, chunks: u64) -> String {
+    pub fn describe_since(&self, before: &Self, chunks: u64) -> String {
         let cpu = self.cpu_us - before.cpu_us;
         format!(
             "process {}: {} ms of processor, {:.1} us a chunk, resident {} KB, peak {} KB",
@@ -41,11 +41,11 @@
         let stat = fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
         let (_, fields) = stat.rsplit_once(") ")?;
         let fields: Vec<_> = fields.split(' ').collect();
-        let ticks = |place: usize| fields.get(place)?.parse::<u64>().ok();
+        let ticks = |index: usize| fields.get(index)?.parse::<u64>().ok();
         let status = fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
         Some(Self {
             pid,
-            cpu_us: (ticks(USER_TIME)? + ticks(SYSTEM_TIME)?) * TICK_US,
+            cpu_us: (ticks(USER_TIME_FIELD)? + ticks(SYSTEM_TIME_FIELD)?) * TICK_US,
             peak_kb: kb(&status, "VmHWM:")?,
             resident_kb: kb(&status, "VmRSS:")?,
         })
--- a/crates/larkspring-cli/src/main.rs
+++ b/crates/larkspring-cli/src/main.rs
@@ -22,14 +22,14 @@
 use self::args::{Cli, Command};
 
 /// Exit code of a command that refuses its input or fails.
-const EXIT_REFUSED: u8 = 1;
+const EXIT_FAILED: u8 = 1;
 
 fn main() -> ExitCode {
     match run(Cli::parse()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("{e}");
-            ExitCode::from(EXIT_REFUSED)
+            ExitCode::from(EXIT_FAILED)
         }
     }
 }
--- a/crates/larkspring-cli/src/operate.rs
+++ b/crates/larkspring-cli/src/operate.rs
@@ -17,11 +17,11 @@
 
 /// Validates settings and declarations and reports all errors at once.
 pub fn check(args: &CheckArgs) -> Result<(), AnyError> {
-    let mut faults = Vec::new();
+    let mut errors = Vec::new();
     for file in &args.settings {
         match settings::load(file) {
             Ok(_) => println!("{}: settings are valid", file.display()),
-            Err(e) => faults.push(e.to_string()),
+            Err(e) => errors.push(e.to_string()),
         }
     }
     for dir in &args.declarations {
@@ -34,12 +34,12 @@
                 all.services.len(),
                 all.endpoints.len()
             ),
-            Err(e) => faults.push(e.to_string()),
+            Err(e) => errors.push(e.to_string()),
         }
     }
-    match faults.is_empty() {
+    match errors.is_empty() {
         true => Ok(()),
-        false => Err(faults.join("\n").into()),
+        false => Err(errors.join("\n").into()),
     }
 }
 
@@ -47,7 +47,7 @@
 pub fn plan(args: &PlanArgs) -> Result<(), AnyError> {
     let all = declare::read_dir(&args.declarations)?;
     let text = serde_json::to_string(&all)?;
-    let plan = exec::run(1, call(&args.to, Method::Post, "/plans", text))?;
+    let plan = exec::run(1, call_operator_api(&args.to, Method::Post, "/plans", text))?;
     println!("{}", serde_json::to_string_pretty(&plan)?);
     Ok(())
 }
@@ -55,20 +55,22 @@
 /// Confirms a plan, which publishes its changes.
 pub fn confirm(args: &ConfirmArgs) -> Result<(), AnyError> {
     let path = format!("/plans/{}/confirm", args.plan);
-    let done = exec::run(1, call(&args.to, Method::Post, &path, String::new()))?;
+    let done =
+        exec::run(1, call_operator_api(&args.to, Method::Post, &path, String::new()))?;
     println!("revision {} accepted", done["revision"]);
     Ok(())
 }
 
 /// Prints the declared state.
 pub fn export(args: &OperatorArgs) -> Result<(), AnyError> {
-    let all = exec::run(1, call(args, Method::Get, "/declared", String::new()))?;
+    let all =
+        exec::run(1, call_operator_api(args, Method::Get, "/declared", String::new()))?;
     print!("{}", serde_yaml_ng::to_string(&all)?);
     Ok(())
 }
 
 /// Calls the operator API of an entry.
-async fn call(
+async fn call_operator_api(
     to: &OperatorArgs,
     method: Method,
     path: &str,
--- a/crates/larkspring-cli/src/platform.rs
+++ b/crates/larkspring-cli/src/platform.rs
@@ -22,28 +22,28 @@
 /// milliseconds, but may take a hundred times as long.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Interval of the checks of the settings file, which may change without a signal.
-const LOOK_EVERY: Duration = Duration::from_secs(5);
+const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Runs an entry until a signal stops it.
 pub fn entry(args: &PlatformEntryArgs) -> Result<(), AnyError> {
     let settings = Settings::load()?;
     let placement = args.placement.into();
     let without = args.process.without();
-    let cfg_of = |settings: &Settings| {
+    let entry_cfg = |settings: &Settings| {
         let cfg = settings.entry()?;
         Ok::<_, SettingsError>(EntryCfg { placement, without, ..cfg })
     };
-    let cfg = cfg_of(&settings)?;
+    let cfg = entry_cfg(&settings)?;
     let _log = start_log(&cfg.process.vm, args.process.log_level, false, LogTo::Stdout);
     let store = Arc::new(Store::new(settings.store(), STORE_TIMEOUT));
     exec::run(THREADS, async {
-        let requests = Requests::new()?;
+        let signals = Requests::new()?;
         let entry = Entry::start(cfg, Arc::new(Wire), store).await?;
         let reload = |settings: &Settings| {
-            entry.reload(cfg_of(settings)?);
+            entry.reload(entry_cfg(settings)?);
             Ok(())
         };
-        until_stopped(requests, settings, reload).await;
+        until_stopped(signals, settings, reload).await;
         entry.stop().await;
         Ok(())
     })
@@ -56,11 +56,11 @@
     let _log = start_log(&cfg.process.vm, args.log_level, false, LogTo::Stdout);
     let store = Arc::new(Store::new(settings.store(), STORE_TIMEOUT));
     exec::run(THREADS, async {
-        let requests = Requests::new()?;
+        let signals = Requests::new()?;
         let agent = Agent::start(cfg, Arc::new(Wire), store.clone(), store).await?;
         // No setting of an agent can change at run time: new settings are only validated.
         let reload = |settings: &Settings| settings.agent().map(drop);
-        until_stopped(requests, settings, reload).await;
+        until_stopped(signals, settings, reload).await;
         agent.stop().await;
         Ok(())
     })
@@ -69,34 +69,34 @@
 /// Waits for the signal to stop and meanwhile applies changed settings. Invalid settings
 /// are logged, and the earlier ones stay in force.
 async fn until_stopped(
-    mut requests: Requests,
-    mut known: Settings,
+    mut signals: Requests,
+    mut current: Settings,
     reload: impl Fn(&Settings) -> Result<(), SettingsError>,
 ) {
     loop {
-        let signalled = match within(LOOK_EVERY, requests.next()).await {
+        let signalled = match within(SETTINGS_CHECK_INTERVAL, signals.next()).await {
             Some(Asked::Stop) => return,
             Some(Asked::Reload) => true,
             None => false,
         };
-        let read = Settings::load();
-        if !signalled && read.as_ref().is_ok_and(|settings| settings.same(&known)) {
+        let loaded = Settings::load();
+        if !signalled && loaded.as_ref().is_ok_and(|settings| settings.same(&current)) {
             continue;
         }
-        let outcome = read.and_then(|settings| {
+        let outcome = loaded.and_then(|settings| {
             reload(&settings)?;
             Ok(settings)
         });
         match outcome {
             Ok(settings) => {
-                let changed = !settings.same(&known);
+                let changed = !settings.same(&current);
                 tracing::info!(
                     event = "reload",
                     outcome = "in force",
                     changed,
                     signalled
                 );
-                known = settings;
+                current = settings;
             }
             Err(e) => {
                 let outcome = "refused, the earlier settings stay in force";
--- a/crates/larkspring-cli/src/process.rs
+++ b/crates/larkspring-cli/src/process.rs
@@ -15,7 +15,7 @@
     exec::run(settings.threads, async {
         let entry = Entry::start(&settings).await?;
         println!("{}", entry.addr);
-        stop_requested().await;
+        wait_for_stop().await;
         entry.stop().await;
         Ok(())
     })
@@ -27,14 +27,14 @@
     exec::run(settings.threads, async {
         let agent = Agent::start(&settings).await?;
         println!("{}", agent.addr);
-        stop_requested().await;
+        wait_for_stop().await;
         agent.stop().await;
         Ok(())
     })
 }
 
 /// Waits for the signal to stop, or forever if signals can't be received.
-pub async fn stop_requested() {
+pub async fn wait_for_stop() {
     if stop::requested().await.is_err() {
         std::future::pending::<()>().await;
     }
--- a/crates/larkspring-cli/src/quarantine.rs
+++ b/crates/larkspring-cli/src/quarantine.rs
@@ -12,11 +12,11 @@
 use crate::AnyError;
 
 /// Limits a call to the platform's store. Only an operator waits for it, no request.
-const CALL_LIMIT: Duration = Duration::from_secs(10);
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Lists, lifts or adds quarantined requests by their objects in the platform's store.
 pub fn run(args: &QuarantineArgs) -> Result<(), AnyError> {
-    let store = Store::new(args.store, CALL_LIMIT);
+    let store = Store::new(args.store, CALL_TIMEOUT);
     exec::run(1, async {
         match &args.step {
             QuarantineStep::List => {
@@ -35,7 +35,7 @@
 }
 
 /// Parses a request fingerprint as in log lines: 16 hexadecimal digits.
-pub fn read_content(text: &str) -> Result<ContentHash, String> {
+pub fn parse_fingerprint(text: &str) -> Result<ContentHash, String> {
     let content = ContentHash::from_str_radix(text, 16);
     let content = content.map_err(|_| format!("`{text}` is no request fingerprint"))?;
     match text.len() == 16 {
--- a/crates/larkspring-cli/src/standin.rs
+++ b/crates/larkspring-cli/src/standin.rs
@@ -8,7 +8,7 @@
 use larkspring_standin::objects::Objects;
 use larkspring_standin::service::Service;
 use larkspring_standin::vms::Vms;
-use larkspring_standin::web::{start, Served};
+use larkspring_standin::web::{start_standin, RunningStandin};
 use larkspring_standin::weights::Weights;
 
 use crate::args::{StandinArgs, StandinKind};
@@ -27,16 +27,16 @@
     })
 }
 
-async fn serve(args: &StandinArgs) -> std::io::Result<Served> {
+async fn serve(args: &StandinArgs) -> std::io::Result<RunningStandin> {
     let addr = args.listen;
     match args.kind {
         StandinKind::Engine => {
             let engine = Engine::new(args.weights.clone(), Faults::default());
-            start(addr, engine).await
+            start_standin(addr, engine).await
         }
-        StandinKind::Service => start(addr, Arc::new(Service::default())).await,
-        StandinKind::Objects => start(addr, Arc::new(Objects::default())).await,
-        StandinKind::Vms => start(addr, Arc::new(Vms::default())).await,
-        StandinKind::Weights => start(addr, Arc::new(Weights::default())).await,
+        StandinKind::Service => start_standin(addr, Arc::new(Service::default())).await,
+        StandinKind::Objects => start_standin(addr, Arc::new(Objects::default())).await,
+        StandinKind::Vms => start_standin(addr, Arc::new(Vms::default())).await,
+        StandinKind::Weights => start_standin(addr, Arc::new(Weights::default())).await,
     }
 }
--- a/crates/larkspring-cli/src/status.rs
+++ b/crates/larkspring-cli/src/status.rs
@@ -14,25 +14,25 @@
 use crate::args::StatusArgs;
 use crate::AnyError;
 
-const CALL_LIMIT: Duration = Duration::from_secs(2);
-const POLL: Duration = Duration::from_millis(10);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Limits the wait until an entry applies a change.
-const GIVE_UP: Duration = Duration::from_secs(60);
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Prints the revision in force at each entry, or the time that a change takes.
 pub fn run(args: &StatusArgs) -> Result<(), AnyError> {
     exec::run(exec::DEPLOYMENT_THREADS, async {
         match &args.time_change {
             Some(objects) => time_change(&args.entry, objects).await,
-            None => print(&args.entry).await,
+            None => print_revisions(&args.entry).await,
         }
     })
 }
 
-async fn print(entries: &[String]) -> Result<(), AnyError> {
+async fn print_revisions(entries: &[String]) -> Result<(), AnyError> {
     let mut revisions = Vec::new();
     for addr in entries {
-        match health(addr).await {
+        match fetch_health(addr).await {
             Ok(health) => {
                 let revision = health["revision"].as_u64().unwrap_or(0);
                 println!(
@@ -55,7 +55,7 @@
 
 /// Adds an adapter and prints the time until the entries apply the change.
 async fn time_change(entries: &[String], objects: &str) -> Result<(), AnyError> {
-    let api = HttpObjects::new(objects, CALL_LIMIT);
+    let api = HttpObjects::new(objects, CALL_TIMEOUT);
     let (present, mut all) = plan::read_present(&api).await?;
     let name = format!("probe-{:08x}", fastrand::u32(..));
     all.adapters.push(Adapter {
@@ -69,12 +69,12 @@
     let accepted = Instant::now();
     let waits = entries.iter().cloned().map(|addr| {
         exec::spawn(async move {
-            while accepted.elapsed() < GIVE_UP {
-                let health = health(&addr).await.unwrap_or_default();
+            while accepted.elapsed() < CHANGE_TIMEOUT {
+                let health = fetch_health(&addr).await.unwrap_or_default();
                 if health["revision"].as_u64().is_some_and(|r| r >= revision) {
                     return Some(accepted.elapsed());
                 }
-                Timer::after(POLL).await;
+                Timer::after(POLL_INTERVAL).await;
             }
             None
         })
@@ -90,8 +90,8 @@
     Ok(())
 }
 
-async fn health(addr: &str) -> Result<Value, AnyError> {
+async fn fetch_health(addr: &str) -> Result<Value, AnyError> {
     let req = request(Method::Get, addr, "/health")?;
-    let (_, body) = fetch(addr, req, CALL_LIMIT).await?;
+    let (_, body) = fetch(addr, req, CALL_TIMEOUT).await?;
     Ok(serde_json::from_slice(&body)?)
 }
--- a/crates/larkspring-cli/src/summary.rs
+++ b/crates/larkspring-cli/src/summary.rs
@@ -6,11 +6,11 @@
 use hdrhistogram::Histogram;
 
 use crate::args::SummaryArgs;
-use crate::explain::{read, Line};
+use crate::explain::{read_lines, Line};
 use crate::AnyError;
 
 /// Upper bounds of the classes of prompt sizes in tokens, with their labels.
-const SIZES: [(u64, &str); 5] = [
+const PROMPT_SIZES: [(u64, &str); 5] = [
     (2_000, "under 2,000"),
     (6_000, "under 6,000"),
     (12_000, "under 12,000"),
@@ -18,45 +18,45 @@
     (u64::MAX, "longer"),
 ];
 /// The longest time that a histogram records, in milliseconds. Longer times are clamped.
-const LONGEST_MS: u64 = 120_000;
+const MAX_TIME_MS: u64 = 120_000;
 /// Length of a timestamp up to and including the seconds.
-const TO_THE_SECOND: usize = "2000-01-01T00:00:00".len();
+const TIMESTAMP_SECONDS_LEN: usize = "2000-01-01T00:00:00".len();
 
 /// Prints tables of answers, refusals, adapter loads and seconds.
 pub fn run(args: &SummaryArgs) -> Result<(), AnyError> {
-    let lines = read(&args.logs)?;
+    let lines = read_lines(&args.logs)?;
     let mut by_size = BTreeMap::new();
     let mut by_holding = BTreeMap::new();
     let mut refused: BTreeMap<&str, u64> = BTreeMap::new();
     let mut unknown: BTreeMap<(&str, &str), u64> = BTreeMap::new();
-    let mut loads = Loads::default();
-    let mut seconds: BTreeMap<&str, Second> = BTreeMap::new();
+    let mut loads = LoadCounts::default();
+    let mut seconds: BTreeMap<&str, SecondCounts> = BTreeMap::new();
     for line in &lines {
-        let time = line.time.get(..TO_THE_SECOND).unwrap_or(&line.time);
+        let time = line.time.get(..TIMESTAMP_SECONDS_LEN).unwrap_or(&line.time);
         let second = seconds.entry(time).or_default();
-        second.count(line);
+        second.record(line);
         match line.field("event") {
             "answered" => {
                 let Some(tokens) = line.number("prompt_tokens") else { continue };
-                let size = SIZES.iter().position(|(under, _)| tokens < *under);
-                let size = size.unwrap_or(SIZES.len() - 1);
-                by_size.entry(size).or_insert_with(Times::new).add(line);
+                let size = PROMPT_SIZES.iter().position(|(under, _)| tokens < *under);
+                let size = size.unwrap_or(PROMPT_SIZES.len() - 1);
+                by_size.entry(size).or_insert_with(Latencies::new).record(line);
                 let holding = line.field("holding");
-                by_holding.entry(holding).or_insert_with(Times::new).add(line);
+                by_holding.entry(holding).or_insert_with(Latencies::new).record(line);
             }
             "unserved" => *refused.entry(line.field("reason")).or_default() += 1,
             "unknown word" => {
                 let word = (line.field("place"), line.field("name"));
                 *unknown.entry(word).or_default() += 1;
             }
-            "order" => second.fetches += u64::from(loads.order(line)),
-            "engine restarted" => loads.restarted(&line.vm),
+            "order" => second.fetches += u64::from(loads.record_order(line)),
+            "engine restarted" => loads.record_restart(&line.vm),
             _ => {}
         }
     }
-    println!("{}", Times::HEAD);
+    println!("{}", Latencies::HEAD);
     for (size, times) in &by_size {
-        times.print(SIZES[*size].1);
+        times.print(PROMPT_SIZES[*size].1);
     }
     for (holding, times) in &by_holding {
         times.print(holding);
@@ -73,7 +73,7 @@
     for (reason, count) in &loads.counts {
         println!("{count:>7}  {reason}");
     }
-    println!("\n{}", Second::HEAD);
+    println!("\n{}", SecondCounts::HEAD);
     for (time, second) in &seconds {
         second.print(time);
     }
@@ -82,7 +82,7 @@
 
 /// Counts of one second, over all processes.
 #[derive(Default)]
-struct Second<'a> {
+struct SecondCounts<'a> {
     answers: u64,
     /// Answers that waited for their adapter longer than half of their latency objective.
     waited: u64,
@@ -93,11 +93,11 @@
     unserved: BTreeMap<&'a str, u64>,
 }
 
-impl<'a> Second<'a> {
+impl<'a> SecondCounts<'a> {
     const HEAD: &'static str = "second               answers  waited long  orders lost  \
         sends rejected  fetches  unserved";
 
-    fn count(&mut self, line: &'a Line) {
+    fn record(&mut self, line: &'a Line) {
         match line.field("event") {
             "answered" => {
                 self.answers += 1;
@@ -128,28 +128,28 @@
     }
 }
 
-/// Times of answered requests, in milliseconds.
-struct Times {
+/// Latencies of answered requests, in milliseconds.
+struct Latencies {
     count: u64,
     again: u64,
     waited: Histogram<u64>,
     rest: Histogram<u64>,
 }
 
-impl Times {
+impl Latencies {
     const HEAD: &'static str = "prompt or holding  answers  sent again  \
         adapter: mean  p50  p90  the rest: mean  p50  p90 (ms)";
 
     fn new() -> Self {
         let histogram = || {
-            let made = Histogram::new_with_max(LONGEST_MS, 3);
+            let made = Histogram::new_with_max(MAX_TIME_MS, 3);
             made.expect("three digits up to two minutes are valid bounds")
         };
         Self { count: 0, again: 0, waited: histogram(), rest: histogram() }
     }
 
     /// Records an answer: the wait for its adapter, and the remaining time to first byte.
-    fn add(&mut self, line: &Line) {
+    fn record(&mut self, line: &Line) {
         let waited = line.number("waited_ms").unwrap_or_default();
         let first_byte = line.number("first_byte_ms").unwrap_or_default();
         self.count += 1;
@@ -170,34 +170,34 @@
 }
 
 /// Reason for a load that needs no fetch from the weight store.
-const FROM_MEMORY: &str = "from the VM's memory: this engine held it";
+const FROM_HOST_MEMORY: &str = "from the VM's memory: this engine held it";
 
 /// Counts of adapter loads over all engines, by where the adapter was loaded before.
 #[derive(Default)]
-struct Loads<'a> {
+struct LoadCounts<'a> {
     /// Engines that hold an adapter now, by adapter. The name of an engine is that of its
     /// agent's VM.
     held_by: HashMap<&'a str, HashSet<&'a str>>,
     /// Engines that have unloaded an adapter, by adapter.
-    left: HashMap<&'a str, HashSet<&'a str>>,
+    unloaded_by: HashMap<&'a str, HashSet<&'a str>>,
     counts: BTreeMap<&'static str, u64>,
 }
 
-impl<'a> Loads<'a> {
+impl<'a> LoadCounts<'a> {
     /// Records a load or unload order. Returns whether it fetches an adapter from the
     /// weight store.
-    fn order(&mut self, line: &'a Line) -> bool {
+    fn record_order(&mut self, line: &'a Line) -> bool {
         let (adapter, engine) = (line.field("of"), &*line.vm);
         match (line.field("kind"), line.field("answer")) {
             ("load", "under way") => {
-                let reason = self.reason(adapter, engine);
+                let reason = self.load_reason(adapter, engine);
                 *self.counts.entry(reason).or_default() += 1;
                 self.held_by.entry(adapter).or_default().insert(engine);
-                return reason != FROM_MEMORY;
+                return reason != FROM_HOST_MEMORY;
             }
             ("unload", "done") => {
                 self.held_by.entry(adapter).or_default().remove(engine);
-                self.left.entry(adapter).or_default().insert(engine);
+                self.unloaded_by.entry(adapter).or_default().insert(engine);
             }
             _ => {}
         }
@@ -205,22 +205,22 @@
     }
 
     /// Removes an engine's adapters, with the host-memory copies, which are lost as well.
-    fn restarted(&mut self, engine: &str) {
-        let of_all = self.held_by.values_mut().chain(self.left.values_mut());
+    fn record_restart(&mut self, engine: &str) {
+        let of_all = self.held_by.values_mut().chain(self.unloaded_by.values_mut());
         for engines in of_all {
             engines.remove(engine);
         }
     }
 
-    fn reason(&self, adapter: &str, engine: &str) -> &'static str {
-        let left = self.left.get(adapter);
-        if left.is_some_and(|engines| engines.contains(engine)) {
-            return FROM_MEMORY;
+    fn load_reason(&self, adapter: &str, engine: &str) -> &'static str {
+        let unloaded_by = self.unloaded_by.get(adapter);
+        if unloaded_by.is_some_and(|engines| engines.contains(engine)) {
+            return FROM_HOST_MEMORY;
         }
         if self.held_by.get(adapter).is_some_and(|engines| !engines.is_empty()) {
             return "fetched while another engine holds it";
         }
-        if left.is_some_and(|engines| !engines.is_empty()) {
+        if unloaded_by.is_some_and(|engines| !engines.is_empty()) {
             return "fetched though another engine held it";
         }
         match adapter.rsplit_once('@').is_some_and(|(_, version)| version != "1") {
--- a/crates/larkspring-standin/src/engine.rs
+++ b/crates/larkspring-standin/src/engine.rs
@@ -19,7 +19,7 @@
 use smol::Timer;
 
 use self::run::{stream, Run};
-use crate::web::{json as answer_json, query, read, text, Web};
+use crate::web::{json_response, query_param, read_json, text_response, Web};
 
 /// A model engine.
 #[derive(Debug)]
@@ -142,11 +142,11 @@
 }
 
 /// A refusal, as HTTP status and reason.
-struct Denied(u16, &'static str);
+struct Refusal(u16, &'static str);
 
-impl From<Denied> for Response {
-    fn from(denied: Denied) -> Self {
-        text(denied.0, denied.1)
+impl From<Refusal> for Response {
+    fn from(refusal: Refusal) -> Self {
+        text_response(refusal.0, refusal.1)
     }
 }
 
@@ -155,7 +155,7 @@
 }
 
 /// Maximum number of load reports that are kept to be returned with a delay.
-const REPORTS: usize = 64;
+const MAX_REPORTS: usize = 64;
 const LOAD_TIMEOUT: Duration = Duration::from_secs(60);
 
 impl Engine {
@@ -173,11 +173,11 @@
             reports: VecDeque::new(),
         };
         let engine = Arc::new(Self { weights, state: Mutex::new(state) });
-        exec::spawn(engine.clone().step_for_ever()).detach();
+        exec::spawn(engine.clone().run_steps()).detach();
         engine
     }
 
-    async fn step_for_ever(self: Arc<Self>) {
+    async fn run_steps(self: Arc<Self>) {
         loop {
             let wait = self.state.lock().step();
             Timer::after(wait).await;
@@ -190,13 +190,13 @@
         state.loaded.clear();
         state.reports.clear();
         for run in std::mem::take(&mut state.runs).into_values() {
-            run.end(true);
+            run.finish(true);
         }
-        text(200, "")
+        text_response(200, "")
     }
 
     async fn complete(&self, mut req: Request, chat: bool) -> Response {
-        let order: Completion = match read(&mut req).await {
+        let order: Completion = match read_json(&mut req).await {
             Ok(order) => order,
             Err(res) => return res,
         };
@@ -215,11 +215,11 @@
             stream: order.stream,
             max_tokens: order.max_tokens.max(1),
             priority,
-            out: Mutex::default(),
+            output: Mutex::default(),
         });
-        let (head, hang) = match self.state.lock().enter(&run) {
+        let (head, hang) = match self.state.lock().admit(&run) {
             Ok(entered) => entered,
-            Err(denied) => return denied.into(),
+            Err(refusal) => return refusal.into(),
         };
         if hang {
             std::future::pending::<()>().await;
@@ -228,8 +228,8 @@
             return stream(head, run, 0);
         }
         let whole = run.clone();
-        std::future::poll_fn(move |cx| whole.poll_end(cx)).await;
-        match run.whole() {
+        std::future::poll_fn(move |cx| whole.poll_done(cx)).await;
+        match run.full_answer() {
             Some(body) => {
                 let mut res = head;
                 res.set_body(Body::from_string(body));
@@ -241,52 +241,52 @@
     }
 
     fn resume(&self, id: &str, req: &Request) -> Response {
-        let from = query(req, "from").and_then(|v| v.parse().ok()).unwrap_or(0);
+        let from = query_param(req, "from").and_then(|v| v.parse().ok()).unwrap_or(0);
         let state = self.state.lock();
         let run = match state.runs.get(id) {
             Some(run) if state.faults.resumable => run.clone(),
-            _ => return text(404, "no such stream"),
+            _ => return text_response(404, "no such stream"),
         };
-        run.out.lock().break_at = None;
-        stream(state.head(&run.adapter), run, from)
+        run.output.lock().break_at = None;
+        stream(state.response_head(&run.adapter), run, from)
     }
 
     fn cancel(&self, id: &str) -> Response {
         let mut state = self.state.lock();
         let Some(run) = state.runs.remove(id) else {
-            return text(404, "no such request");
+            return text_response(404, "no such request");
         };
-        if !run.out.lock().done {
+        if !run.output.lock().done {
             state.stats.cancelled += 1;
         }
-        run.end(true);
-        text(200, "")
+        run.finish(true);
+        text_response(200, "")
     }
 
     async fn load(&self, req: &mut Request) -> Response {
-        let epoch = epoch_of(req);
-        let order: Order = match read(req).await {
+        let epoch = epoch_header(req);
+        let order: Order = match read_json(req).await {
             Ok(order) => order,
             Err(res) => return res,
         };
-        if let Err(denied) = self.state.lock().begin_load(epoch) {
-            return denied.into();
+        if let Err(refusal) = self.state.lock().begin_load(epoch) {
+            return refusal.into();
         }
         let run = self.state.lock().stats.incarnation.clone();
         let fetched = self.fetch_weights(&order.weights).await;
         let mut state = self.state.lock();
         state.loading -= 1;
         if run != state.stats.incarnation {
-            return text(503, "restarted");
+            return text_response(503, "restarted");
         }
         if !fetched || state.faults.fail_loads > 0 {
             state.faults.fail_loads = state.faults.fail_loads.saturating_sub(1);
-            return text(500, "the load failed");
+            return text_response(500, "the load failed");
         }
         let adapter = state.faults.load_wrong.take().unwrap_or(order.adapter);
         state.loaded.insert(adapter.clone());
         state.stats.loads += 1;
-        answer_json(&json!({ "adapter": adapter, "incarnation": run }))
+        json_response(&json!({ "adapter": adapter, "incarnation": run }))
     }
 
     async fn fetch_weights(&self, path: &str) -> bool {
@@ -299,30 +299,30 @@
     }
 
     async fn unload(&self, req: &mut Request) -> Response {
-        let epoch = epoch_of(req);
-        let order: Order = match read(req).await {
+        let epoch = epoch_header(req);
+        let order: Order = match read_json(req).await {
             Ok(order) => order,
             Err(res) => return res,
         };
         let mut state = self.state.lock();
-        if let Err(denied) = state.check_epoch(epoch) {
-            return denied.into();
+        if let Err(refusal) = state.check_epoch(epoch) {
+            return refusal.into();
         }
         let in_use =
-            |run: &Arc<Run>| run.adapter == order.adapter && !run.out.lock().done;
+            |run: &Arc<Run>| run.adapter == order.adapter && !run.output.lock().done;
         if state.runs.values().any(in_use) {
             state.stats.unloads_in_use += 1;
         }
         state.loaded.remove(&order.adapter);
         let run = state.stats.incarnation.clone();
-        answer_json(&json!({ "adapter": order.adapter, "incarnation": run }))
+        json_response(&json!({ "adapter": order.adapter, "incarnation": run }))
     }
 
     async fn set_faults(&self, req: &mut Request) -> Response {
-        match read(req).await {
+        match read_json(req).await {
             Ok(faults) => {
                 self.state.lock().faults = faults;
-                text(200, "")
+                text_response(200, "")
             }
             Err(res) => res,
         }
@@ -337,19 +337,19 @@
             (Method::Post, "/v1/chat/completions") => self.complete(req, true).await,
             (Method::Post, "/v1/load_lora_adapter") => self.load(&mut req).await,
             (Method::Post, "/v1/unload_lora_adapter") => self.unload(&mut req).await,
-            (Method::Get, "/v1/load") => self.state.lock().report(),
-            (Method::Get, "/stats") => answer_json(&self.state.lock().present()),
+            (Method::Get, "/v1/load") => self.state.lock().delayed_report(),
+            (Method::Get, "/stats") => json_response(&self.state.lock().current_stats()),
             (Method::Get, "/totals") => {
-                let stats = Stats { runs: vec![], ..self.state.lock().present() };
-                answer_json(&stats)
+                let stats = Stats { runs: vec![], ..self.state.lock().current_stats() };
+                json_response(&stats)
             }
-            (Method::Get, "/faults") => answer_json(&self.state.lock().faults),
+            (Method::Get, "/faults") => json_response(&self.state.lock().faults),
             (Method::Post, "/faults") => self.set_faults(&mut req).await,
             (Method::Post, "/restart") => self.restart(),
             _ => match path.rsplit_once('/') {
                 Some(("/v1/cancel", id)) => self.cancel(id),
                 Some(("/v1/streams", id)) => self.resume(id, &req),
-                _ => text(404, "no such path"),
+                _ => text_response(404, "no such path"),
             },
         }
     }
@@ -363,11 +363,11 @@
             return base;
         }
         let mut batch: Vec<_> =
-            self.runs.values().filter(|run| run.takes_tokens()).cloned().collect();
+            self.runs.values().filter(|run| run.needs_token()).cloned().collect();
         batch.sort_by_key(|run| run.priority);
         batch.truncate(self.faults.max_batch);
         for run in &batch {
-            run.step(&mut self.faults.break_after);
+            run.add_token(&mut self.faults.break_after);
         }
         if !batch.is_empty() {
             self.stats.steps += 1;
@@ -377,48 +377,48 @@
         base + Duration::from_micros(self.faults.over_knee_us) * over
     }
 
-    fn enter(&mut self, run: &Arc<Run>) -> Result<(Response, bool), Denied> {
+    fn admit(&mut self, run: &Arc<Run>) -> Result<(Response, bool), Refusal> {
         if !self.loaded.contains(&run.adapter) {
-            return Err(Denied(404, "the adapter is not loaded"));
+            return Err(Refusal(404, "the adapter is not loaded"));
         }
-        self.runs.retain(|_, run| !run.is_read());
+        self.runs.retain(|_, run| !run.is_fully_read());
         self.stats.runs.push(format!("{} {}", run.adapter, run.prompt));
         self.runs.insert(run.id.clone(), run.clone());
-        Ok((self.head(&run.adapter), self.faults.hang))
+        Ok((self.response_head(&run.adapter), self.faults.hang))
     }
 
-    fn head(&self, adapter: &str) -> Response {
+    fn response_head(&self, adapter: &str) -> Response {
         let mut res = Response::new(200);
         res.insert_header("x-engine-incarnation", self.stats.incarnation.as_str());
         res.insert_header("x-engine-adapter", adapter);
         res
     }
 
-    fn begin_load(&mut self, epoch: u64) -> Result<(), Denied> {
+    fn begin_load(&mut self, epoch: u64) -> Result<(), Refusal> {
         self.check_epoch(epoch)?;
         if self.loaded.len() + self.loading >= self.faults.slots {
-            return Err(Denied(409, "no free slot"));
+            return Err(Refusal(409, "no free slot"));
         }
         self.loading += 1;
         Ok(())
     }
 
-    fn check_epoch(&mut self, epoch: u64) -> Result<(), Denied> {
+    fn check_epoch(&mut self, epoch: u64) -> Result<(), Refusal> {
         if self.faults.checks_fences && epoch < self.epoch {
             self.stats.fenced += 1;
-            return Err(Denied(403, "an old epoch"));
+            return Err(Refusal(403, "an old epoch"));
         }
         self.epoch = self.epoch.max(epoch);
         Ok(())
     }
 
     /// Records a load report and returns an earlier one, delayed by `report_lag_ms`.
-    fn report(&mut self) -> Response {
+    fn delayed_report(&mut self) -> Response {
         let now = std::time::Instant::now();
         let running: Vec<_> = self
             .runs
             .values()
-            .filter(|run| !run.out.lock().done)
+            .filter(|run| !run.output.lock().done)
             .map(|run| json!({ "id": run.id, "adapter": run.adapter }))
             .collect();
         let report = json!({
@@ -429,23 +429,23 @@
         self.reports.push_back((now, report));
         let lag = Duration::from_millis(self.faults.report_lag_ms);
         let old = |at: &std::time::Instant| now.duration_since(*at) >= lag;
-        while self.reports.len() > REPORTS
+        while self.reports.len() > MAX_REPORTS
             || self.reports.get(1).is_some_and(|(at, _)| old(at))
         {
             self.reports.pop_front();
         }
-        answer_json(&self.reports.front().map(|(_, report)| report))
+        json_response(&self.reports.front().map(|(_, report)| report))
     }
 
-    fn present(&self) -> Stats {
+    fn current_stats(&self) -> Stats {
         let mut stats = self.stats.clone();
-        stats.running = self.runs.values().filter(|run| !run.out.lock().done).count();
+        stats.running = self.runs.values().filter(|run| !run.output.lock().done).count();
         stats.resident = self.loaded.iter().cloned().collect();
         stats
     }
 }
 
-fn epoch_of(req: &Request) -> u64 {
+fn epoch_header(req: &Request) -> u64 {
     req.header("x-epoch").and_then(|v| v.as_str().parse().ok()).unwrap_or(0)
 }
 
--- a/crates/larkspring-standin/src/engine/run.rs
+++ b/crates/larkspring-standin/src/engine/run.rs
@@ -11,7 +11,7 @@
 use serde_json::json;
 
 /// Maximum number of unread bytes of a stream, from which on its request gets no tokens.
-const MAX_LAG: usize = 64 * 1024;
+const MAX_UNREAD_BYTES: usize = 64 * 1024;
 const STREAM_END: &[u8] = b"data: [DONE]\n\n";
 
 /// A request in the engine.
@@ -24,11 +24,11 @@
     pub stream: bool,
     pub max_tokens: u64,
     pub priority: u32,
-    pub out: Mutex<Out>,
+    pub output: Mutex<Output>,
 }
 
 #[derive(Debug, Default)]
-pub(super) struct Out {
+pub(super) struct Output {
     pub buf: Vec<u8>,
     pub text: String,
     pub tokens: u64,
@@ -38,43 +38,44 @@
     /// Whether the request ended before its answer was complete.
     pub broken: bool,
     /// Number of bytes read by the receiver.
-    pub taken: usize,
+    pub bytes_read: usize,
     pub wakers: Vec<Waker>,
 }
 
 impl Run {
-    pub fn takes_tokens(&self) -> bool {
-        let out = self.out.lock();
-        !out.done && (!self.stream || out.buf.len() < out.taken + MAX_LAG)
+    pub fn needs_token(&self) -> bool {
+        let output = self.output.lock();
+        !output.done
+            && (!self.stream || output.buf.len() < output.bytes_read + MAX_UNREAD_BYTES)
     }
 
     /// Appends the next token, and the end of the stream after the last one.
-    pub fn step(&self, break_after: &mut Option<u64>) {
-        let mut out = self.out.lock();
-        let token = match out.tokens {
+    pub fn add_token(&self, break_after: &mut Option<u64>) {
+        let mut output = self.output.lock();
+        let token = match output.tokens {
             0 => format!("{}|{}|", self.adapter, self.prompt),
             n => format!(" {n}"),
         };
-        out.tokens += 1;
-        out.text.push_str(&token);
+        output.tokens += 1;
+        output.text.push_str(&token);
         if self.stream {
-            let event = self.event(&token);
-            out.buf.extend_from_slice(event.as_bytes());
-            if out.break_at.is_none() && *break_after == Some(out.tokens) {
+            let event = self.sse_event(&token);
+            output.buf.extend_from_slice(event.as_bytes());
+            if output.break_at.is_none() && *break_after == Some(output.tokens) {
                 *break_after = None;
-                out.break_at = Some(out.buf.len());
+                output.break_at = Some(output.buf.len());
             }
         }
-        if out.tokens == self.max_tokens {
+        if output.tokens == self.max_tokens {
             if self.stream {
-                out.buf.extend_from_slice(STREAM_END);
+                output.buf.extend_from_slice(STREAM_END);
             }
-            out.done = true;
+            output.done = true;
         }
-        out.wake();
+        output.wake();
     }
 
-    fn event(&self, token: &str) -> String {
+    fn sse_event(&self, token: &str) -> String {
         let choice = match self.chat {
             true => json!({ "index": 0, "delta": { "content": token } }),
             false => json!({ "index": 0, "text": token }),
@@ -83,41 +84,41 @@
         format!("data: {body}\n\n")
     }
 
-    pub fn end(&self, broken: bool) {
-        let mut out = self.out.lock();
-        out.broken |= broken && !out.done;
-        out.done = true;
-        out.wake();
+    pub fn finish(&self, broken: bool) {
+        let mut output = self.output.lock();
+        output.broken |= broken && !output.done;
+        output.done = true;
+        output.wake();
     }
 
-    pub fn is_read(&self) -> bool {
-        let out = self.out.lock();
-        out.done && (!self.stream || out.taken >= out.buf.len())
+    pub fn is_fully_read(&self) -> bool {
+        let output = self.output.lock();
+        output.done && (!self.stream || output.bytes_read >= output.buf.len())
     }
 
-    pub fn poll_end(&self, cx: &mut Context<'_>) -> Poll<()> {
-        let mut out = self.out.lock();
-        if out.done {
+    pub fn poll_done(&self, cx: &mut Context<'_>) -> Poll<()> {
+        let mut output = self.output.lock();
+        if output.done {
             return Poll::Ready(());
         }
-        out.wakers.push(cx.waker().clone());
+        output.wakers.push(cx.waker().clone());
         Poll::Pending
     }
 
     /// Returns the answer as one JSON body; `None` if it is incomplete.
-    pub fn whole(&self) -> Option<String> {
-        let out = self.out.lock();
+    pub fn full_answer(&self) -> Option<String> {
+        let output = self.output.lock();
         let choice = match self.chat {
             true => json!({ "index": 0,
-                "message": { "role": "assistant", "content": out.text } }),
-            false => json!({ "index": 0, "text": out.text }),
+                "message": { "role": "assistant", "content": output.text } }),
+            false => json!({ "index": 0, "text": output.text }),
         };
         let body = json!({ "id": self.id, "model": self.adapter, "choices": [choice] });
-        (!out.broken).then(|| body.to_string())
+        (!output.broken).then(|| body.to_string())
     }
 }
 
-impl Out {
+impl Output {
     fn wake(&mut self) {
         for waker in self.wakers.drain(..) {
             waker.wake();
@@ -146,24 +147,24 @@
         if self.used < self.chunk.len() {
             return Poll::Ready(Ok(()));
         }
-        let mut out = self.run.out.lock();
-        let end = out.break_at.unwrap_or(usize::MAX).min(out.buf.len());
+        let mut output = self.run.output.lock();
+        let end = output.break_at.unwrap_or(usize::MAX).min(output.buf.len());
         if self.at < end {
-            self.chunk = out.buf[self.at..end].to_vec();
+            self.chunk = output.buf[self.at..end].to_vec();
             self.used = 0;
             self.at = end;
-            out.taken = out.taken.max(end);
+            output.bytes_read = output.bytes_read.max(end);
             return Poll::Ready(Ok(()));
         }
-        if out.broken || out.break_at.is_some_and(|at| self.at >= at) {
+        if output.broken || output.break_at.is_some_and(|at| self.at >= at) {
             return Poll::Ready(Err(io::ErrorKind::ConnectionReset.into()));
         }
-        if out.done {
+        if output.done {
             self.chunk.clear();
             self.used = 0;
             return Poll::Ready(Ok(()));
         }
-        out.wakers.push(cx.waker().clone());
+        output.wakers.push(cx.waker().clone());
         Poll::Pending
     }
 }
--- a/crates/larkspring-standin/src/objects.rs
+++ b/crates/larkspring-standin/src/objects.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 use smol::Timer;
 
-use crate::web::{json, query, read, text, Web};
+use crate::web::{json_response, query_param, read_json, text_response, Web};
 
 /// The object API.
 #[derive(Debug, Default)]
@@ -46,21 +46,21 @@
 #[derive(Debug, Default)]
 struct State {
     objects: BTreeMap<String, (u64, Vec<u8>)>,
-    last: u64,
+    last_version: u64,
     faults: Faults,
     stats: Stats,
 }
 
-const MAX_VALUE: usize = 1024 * 1024;
-const OBJECTS: &str = "/v1/objects/";
-const WATCH: &str = "/v1/watch/";
+const MAX_VALUE_BYTES: usize = 1024 * 1024;
+const OBJECTS_PATH: &str = "/v1/objects/";
+const WATCH_PATH: &str = "/v1/watch/";
 
 impl Web for Objects {
     async fn answer(self: Arc<Self>, mut req: Request) -> Response {
         let path = req.url().path().to_owned();
         match (req.method(), &*path) {
             (Method::Post, "/faults") => return self.set_faults(&mut req).await,
-            (_, "/stats") => return json(&self.state.lock().stats),
+            (_, "/stats") => return json_response(&self.state.lock().stats),
             _ => {}
         }
         let faults = self.state.lock().faults.clone();
@@ -68,31 +68,31 @@
             Timer::after(Duration::from_millis(faults.slow_ms)).await;
         }
         if faults.outage {
-            return text(503, "outage");
+            return text_response(503, "outage");
         }
-        if let Some(name) = path.strip_prefix(WATCH) {
+        if let Some(name) = path.strip_prefix(WATCH_PATH) {
             return self.watch(name, &req).await;
         }
-        let Some(name) = path.strip_prefix(OBJECTS) else {
-            return text(404, "no such path");
+        let Some(name) = path.strip_prefix(OBJECTS_PATH) else {
+            return text_response(404, "no such path");
         };
         let body = req.body_bytes().await.unwrap_or_default();
         match req.method() {
             Method::Get => self.get(name),
             Method::Put => self.write(name, &req, Some(body)).await,
             Method::Delete => self.write(name, &req, None).await,
-            _ => text(405, "no such method"),
+            _ => text_response(405, "no such method"),
         }
     }
 }
 
 impl Objects {
     async fn set_faults(&self, req: &mut Request) -> Response {
-        match read(req).await {
+        match read_json(req).await {
             Ok(faults) => {
                 self.state.lock().faults = faults;
                 self.changed.notify(usize::MAX);
-                text(200, "")
+                text_response(200, "")
             }
             Err(res) => res,
         }
@@ -102,27 +102,29 @@
         let mut state = self.state.lock();
         state.stats.reads += 1;
         match state.objects.get(name) {
-            Some((version, value)) => object(*version, value),
-            None => text(404, "no such object"),
+            Some((version, value)) => object_response(*version, value),
+            None => text_response(404, "no such object"),
         }
     }
 
     async fn write(&self, name: &str, req: &Request, value: Option<Vec<u8>>) -> Response {
         let expected = req.header("if-match").and_then(|v| v.as_str().parse().ok());
-        let Some(expected) = expected else { return text(400, "if-match is needed") };
-        if value.as_ref().is_some_and(|v| v.len() > MAX_VALUE) {
-            return text(413, "over a megabyte");
+        let Some(expected) = expected else {
+            return text_response(400, "if-match is needed");
+        };
+        if value.as_ref().is_some_and(|v| v.len() > MAX_VALUE_BYTES) {
+            return text_response(413, "over a megabyte");
         }
-        let (res, lost) = self.write_now(name, expected, value);
+        let (res, reply_lost) = self.apply_write(name, expected, value);
         self.changed.notify(usize::MAX);
-        if lost {
+        if reply_lost {
             // The reply never comes, so that the client runs into its time-out.
             std::future::pending::<()>().await;
         }
         res
     }
 
-    fn write_now(
+    fn apply_write(
         &self,
         name: &str,
         expected: u64,
@@ -132,50 +134,51 @@
         state.stats.writes += 1;
         let present = state.objects.get(name).map_or(0, |(version, _)| *version);
         if present != expected {
-            return (text(412, "another version"), false);
+            return (text_response(412, "another version"), false);
         }
-        state.last += 1;
-        let version = state.last;
+        state.last_version += 1;
+        let version = state.last_version;
         match value {
             Some(value) => drop(state.objects.insert(name.into(), (version, value))),
             None => drop(state.objects.remove(name)),
         }
-        let lost = state.faults.lose_replies > 0;
+        let reply_lost = state.faults.lose_replies > 0;
         state.faults.lose_replies = state.faults.lose_replies.saturating_sub(1);
-        (object(version, b""), lost)
+        (object_response(version, b""), reply_lost)
     }
 
     async fn watch(&self, name: &str, req: &Request) -> Response {
         self.state.lock().stats.watches += 1;
-        let number = |key| query(req, key).and_then(|v| v.parse().ok()).unwrap_or(0);
+        let number =
+            |key| query_param(req, key).and_then(|v| v.parse().ok()).unwrap_or(0);
         let (after, wait) = (number("after"), Duration::from_millis(number("wait_ms")));
         let changed = async {
             loop {
                 let listener = self.changed.listen();
-                if let Some(res) = self.past(name, after) {
+                if let Some(res) = self.if_newer(name, after) {
                     return res;
                 }
                 listener.await;
             }
         };
-        let late = async {
+        let timed_out = async {
             Timer::after(wait).await;
             Response::new(204)
         };
-        changed.or(late).await
+        changed.or(timed_out).await
     }
 
-    fn past(&self, name: &str, after: u64) -> Option<Response> {
+    fn if_newer(&self, name: &str, after: u64) -> Option<Response> {
         let state = self.state.lock();
         if state.faults.outage {
-            return Some(text(503, "outage"));
+            return Some(text_response(503, "outage"));
         }
         let (version, value) = state.objects.get(name)?;
-        (*version > after).then(|| object(*version, value))
+        (*version > after).then(|| object_response(*version, value))
     }
 }
 
-fn object(version: u64, value: &[u8]) -> Response {
+fn object_response(version: u64, value: &[u8]) -> Response {
     let mut res = Response::new(200);
     res.set_body(value.to_vec());
     res.insert_header("etag", version.to_string());
--- a/crates/larkspring-standin/src/service.rs
+++ b/crates/larkspring-standin/src/service.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use smol::Timer;
 
-use crate::web::{json, read, text, Web};
+use crate::web::{json_response, read_json, text_response, Web};
 
 /// A plain service.
 #[derive(Debug, Default)]
@@ -45,14 +45,14 @@
     async fn answer(self: Arc<Self>, mut req: Request) -> Response {
         let path = req.url().path().to_owned();
         match (req.method(), &*path) {
-            (Method::Post, "/faults") => match read(&mut req).await {
+            (Method::Post, "/faults") => match read_json(&mut req).await {
                 Ok(faults) => {
                     self.state.lock().faults = faults;
-                    text(200, "")
+                    text_response(200, "")
                 }
                 Err(res) => res,
             },
-            (Method::Get, "/stats") => json(&self.state.lock().runs),
+            (Method::Get, "/stats") => json_response(&self.state.lock().runs),
             _ => self.run(req).await,
         }
     }
@@ -74,6 +74,6 @@
         if hang {
             std::future::pending::<()>().await;
         }
-        json(&serde_json::json!({ "ran": call }))
+        json_response(&serde_json::json!({ "ran": call }))
     }
 }
--- a/crates/larkspring-standin/src/vms.rs
+++ b/crates/larkspring-standin/src/vms.rs
@@ -8,7 +8,7 @@
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
 
-use crate::web::{json, read, text, Web};
+use crate::web::{json_response, read_json, text_response, Web};
 
 /// The VM list.
 #[derive(Debug, Default)]
@@ -29,33 +29,35 @@
 #[derive(Debug, Default)]
 struct State {
     shown: Vec<Vm>,
-    next: Option<(Instant, Vec<Vm>)>,
+    pending: Option<(Instant, Vec<Vm>)>,
 }
 
 impl Web for Vms {
     async fn answer(self: Arc<Self>, mut req: Request) -> Response {
         let path = req.url().path().to_owned();
         match (req.method(), &*path) {
-            (Method::Get, "/v1/vms") => json(&self.list()),
-            (Method::Post, "/faults") => match read::<Setting>(&mut req).await {
+            (Method::Get, "/v1/vms") => json_response(&self.list()),
+            (Method::Post, "/faults") => match read_json::<Setting>(&mut req).await {
                 Ok(setting) => self.set(setting),
                 Err(res) => res,
             },
-            _ => text(404, "no such path"),
+            _ => text_response(404, "no such path"),
         }
     }
 }
 
 impl Vms {
     fn set(&self, setting: Setting) -> Response {
-        let due = Instant::now() + Duration::from_millis(setting.lag_ms);
-        self.state.lock().next = Some((due, setting.vms));
-        text(200, "")
+        let visible_at = Instant::now() + Duration::from_millis(setting.lag_ms);
+        self.state.lock().pending = Some((visible_at, setting.vms));
+        text_response(200, "")
     }
 
     fn list(&self) -> Vec<Vm> {
         let mut state = self.state.lock();
-        if let Some((_, vms)) = state.next.take_if(|(due, _)| *due <= Instant::now()) {
+        if let Some((_, vms)) =
+            state.pending.take_if(|(visible_at, _)| *visible_at <= Instant::now())
+        {
             state.shown = vms;
         }
         state.shown.clone()
--- a/crates/larkspring-standin/src/web.rs
+++ b/crates/larkspring-standin/src/web.rs
@@ -22,51 +22,55 @@
 
 /// A stand-in that is being served, until this is dropped.
 #[derive(Debug)]
-pub struct Served {
+pub struct RunningStandin {
     /// Address that it listens on.
     pub addr: SocketAddr,
     _task: Task<()>,
 }
 
-struct Adapter<W>(Arc<W>);
+struct HandlerAdapter<W>(Arc<W>);
 
-const MAX_BODY: usize = 4 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 const MAX_CONNECTIONS: usize = 10_000;
 
 /// Binds `addr` and serves a stand-in there in the background.
-pub async fn start<W: Web>(addr: SocketAddr, web: Arc<W>) -> io::Result<Served> {
+pub async fn start_standin<W: Web>(
+    addr: SocketAddr,
+    web: Arc<W>,
+) -> io::Result<RunningStandin> {
     let listener = TcpListener::bind(addr).await?;
     let addr = listener.local_addr()?;
     let limits = Limits {
-        max_body: MAX_BODY,
+        max_body: MAX_BODY_BYTES,
         read_timeout: Duration::from_secs(10),
         idle_timeout: Duration::from_secs(60),
         stall_timeout: Duration::from_secs(600),
         max_connections: MAX_CONNECTIONS,
     };
-    let task = larkspring::exec::spawn(serve(listener, limits, Arc::new(Adapter(web))));
-    Ok(Served { addr, _task: task })
+    let task =
+        larkspring::exec::spawn(serve(listener, limits, Arc::new(HandlerAdapter(web))));
+    Ok(RunningStandin { addr, _task: task })
 }
 
-impl<W: Web> Handler for Adapter<W> {
+impl<W: Web> Handler for HandlerAdapter<W> {
     async fn handle(self: Arc<Self>, req: Request, _: SocketAddr) -> Response {
         self.0.clone().answer(req).await
     }
 
     fn refuse(&self, error: &HeadError) -> Response {
-        text(error.status(), &error.to_string())
+        text_response(error.status(), &error.to_string())
     }
 }
 
 /// Returns a response with plain text.
-pub fn text(status: u16, text: &str) -> Response {
+pub fn text_response(status: u16, text: &str) -> Response {
     let mut res = Response::new(status);
     res.set_body(Body::from_string(text.into()));
     res
 }
 
 /// Returns a response with JSON.
-pub fn json(value: &impl Serialize) -> Response {
+pub fn json_response(value: &impl Serialize) -> Response {
     let mut res = Response::new(200);
     let body = serde_json::to_string(value).unwrap_or_default();
     res.set_body(Body::from_string(body));
@@ -75,13 +79,13 @@
 }
 
 /// Parses a JSON body. Returns a response with status 400 if that fails.
-pub async fn read<T: DeserializeOwned>(req: &mut Request) -> Result<T, Response> {
-    let body = req.body_bytes().await.map_err(|e| text(400, &e.to_string()))?;
-    serde_json::from_slice(&body).map_err(|e| text(400, &e.to_string()))
+pub async fn read_json<T: DeserializeOwned>(req: &mut Request) -> Result<T, Response> {
+    let body = req.body_bytes().await.map_err(|e| text_response(400, &e.to_string()))?;
+    serde_json::from_slice(&body).map_err(|e| text_response(400, &e.to_string()))
 }
 
 /// Returns the value of a query parameter.
-pub fn query(req: &Request, name: &str) -> Option<String> {
+pub fn query_param(req: &Request, name: &str) -> Option<String> {
     let mut pairs = req.url().query_pairs();
     pairs.find(|(key, _)| key == name).map(|(_, value)| value.into_owned())
 }
--- a/crates/larkspring-standin/src/weights.rs
+++ b/crates/larkspring-standin/src/weights.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use smol::Timer;
 
-use crate::web::{json, read, text, Web};
+use crate::web::{json_response, read_json, text_response, Web};
 
 /// The weight store.
 #[derive(Debug, Default)]
@@ -50,7 +50,7 @@
     stats: Stats,
     active: u32,
     tokens: f64,
-    filled: Option<Instant>,
+    refilled: Option<Instant>,
 }
 
 impl Default for Faults {
@@ -60,22 +60,22 @@
 }
 
 /// Number of steps of a load, so that its speed follows the number of active loads.
-const SLICES: u32 = 10;
+const LOAD_STEPS: u32 = 10;
 
 impl Web for Weights {
     async fn answer(self: Arc<Self>, mut req: Request) -> Response {
         let path = req.url().path().to_owned();
         if path == "/faults" {
-            return match read(&mut req).await {
+            return match read_json(&mut req).await {
                 Ok(faults) => {
                     self.state.lock().faults = faults;
-                    text(200, "")
+                    text_response(200, "")
                 }
                 Err(res) => res,
             };
         }
         if path == "/stats" {
-            return json(&self.state.lock().stats);
+            return json_response(&self.state.lock().stats);
         }
         self.load().await
     }
@@ -89,25 +89,25 @@
 
     async fn load(&self) -> Response {
         if !self.admit() {
-            return text(429, "over the rate");
+            return text_response(429, "over the rate");
         }
-        let active = Active::new(self);
-        for _ in 0..SLICES {
-            let wait = self.slice();
+        let active = ActiveLoad::new(self);
+        for _ in 0..LOAD_STEPS {
+            let wait = self.step_duration();
             Timer::after(wait).await;
         }
         drop(active);
         let mut state = self.state.lock();
         let done = state.stats.served + state.stats.failed + 1;
-        let turn =
+        let is_nth =
             state.faults.fail_one_in > 0 && done.is_multiple_of(state.faults.fail_one_in);
-        if turn || state.faults.fail > 0 {
+        if is_nth || state.faults.fail > 0 {
             state.faults.fail = state.faults.fail.saturating_sub(1);
             state.stats.failed += 1;
-            return text(500, "the load failed");
+            return text_response(500, "the load failed");
         }
         state.stats.served += 1;
-        text(200, "weights")
+        text_response(200, "weights")
     }
 
     /// Takes a token for a load from a bucket that holds the rate of one second.
@@ -116,8 +116,8 @@
         let mut state = self.state.lock();
         let now = Instant::now();
         let rate = state.faults.rate;
-        let filled = state.filled.replace(now);
-        let gained = filled.map_or(rate, |at| (now - at).as_secs_f64() * rate);
+        let refilled = state.refilled.replace(now);
+        let gained = refilled.map_or(rate, |at| (now - at).as_secs_f64() * rate);
         state.tokens = (state.tokens + gained).min(rate.max(1.0));
         if state.tokens < 1.0 {
             state.stats.refused += 1;
@@ -127,25 +127,25 @@
         true
     }
 
-    fn slice(&self) -> Duration {
+    fn step_duration(&self) -> Duration {
         let state = self.state.lock();
         let share = state.active as f64 / state.faults.concurrency.max(1) as f64;
-        let full = Duration::from_millis(state.faults.load_ms) / SLICES;
+        let full = Duration::from_millis(state.faults.load_ms) / LOAD_STEPS;
         full.mul_f64(share.max(1.0))
     }
 }
 
 /// A guard that counts a load as active until it is dropped.
-struct Active<'a>(&'a Weights);
+struct ActiveLoad<'a>(&'a Weights);
 
-impl<'a> Active<'a> {
+impl<'a> ActiveLoad<'a> {
     fn new(weights: &'a Weights) -> Self {
         weights.state.lock().active += 1;
         Self(weights)
     }
 }
 
-impl Drop for Active<'_> {
+impl Drop for ActiveLoad<'_> {
     fn drop(&mut self) {
         self.0.state.lock().active -= 1;
     }
--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -14,7 +14,7 @@
     "settings.proto",
 ];
 const OUT_DIR: &str = "crates/larkspring-proto/src/gen";
-const SERDE: &str = "#[derive(serde::Serialize, serde::Deserialize)] \
+const SERDE_ATTRIBUTES: &str = "#[derive(serde::Serialize, serde::Deserialize)] \
                      #[serde(default, deny_unknown_fields)]";
 
 fn main() -> ExitCode {
@@ -44,10 +44,10 @@
         .build_transport(false)
         .codec_path("crate::codec::SmallCodec")
         .out_dir(out)
-        .type_attribute(".larkspring.declared", SERDE)
-        .type_attribute(".larkspring.settings", SERDE)
-        .type_attribute(".larkspring.keys.KeyTable", SERDE)
-        .type_attribute(".larkspring.keys.Tenure", SERDE)
+        .type_attribute(".larkspring.declared", SERDE_ATTRIBUTES)
+        .type_attribute(".larkspring.settings", SERDE_ATTRIBUTES)
+        .type_attribute(".larkspring.keys.KeyTable", SERDE_ATTRIBUTES)
+        .type_attribute(".larkspring.keys.Tenure", SERDE_ATTRIBUTES)
         .bytes(".larkspring.agent")
         .bytes(".larkspring.keys")
         .bytes(".larkspring.config")
