--- a/crates/larkspring-cli/tests/common/client.rs
+++ b/crates/larkspring-cli/tests/common/client.rs
@@ -1,4 +1,4 @@
-//! A plain blocking HTTP client, so that tests see the bytes as they are.
+//! A blocking HTTP client without a library, so that tests can check the exact bytes.
 
 use std::fmt::{self, Debug, Formatter};
 use std::io::{self, Read, Write};
@@ -9,41 +9,41 @@
 
 use super::KEY;
 
-/// Last bytes of a body that a failed check shows.
+/// Maximum number of bytes of a body's end that a failed check prints.
 const SHOWN: usize = 400;
 const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A connection and all the bytes that came on it.
+/// A connection with all the bytes received on it.
 pub struct Conn {
     sock: TcpStream,
     raw: Vec<u8>,
 }
 
-/// An answer as it came, up to the close of the connection.
+/// An answer as received up to the close of the connection.
 #[derive(Default)]
 pub struct Answer {
-    /// 0 if there was no answer.
+    /// HTTP status; 0 without an answer.
     pub status: u16,
     pub head: String,
-    /// Body, chunks joined.
+    /// Body with its chunks joined.
     pub body: String,
-    /// Whether the body came to its end.
+    /// Whether the body was received to its end, by its length or last chunk.
     pub whole: bool,
 }
 
 impl Answer {
-    /// The error of a refusal.
+    /// Returns the error object of a refusal.
     pub fn error(&self) -> Value {
         let body: Value = serde_json::from_str(&self.body).unwrap_or_default();
         body["error"].clone()
     }
 
-    /// The outcome of a refusal.
+    /// Returns the outcome of a refusal.
     pub fn outcome(&self) -> String {
         self.error()["outcome"].as_str().unwrap_or_default().to_owned()
     }
 
-    /// The text of an answer, streamed or whole.
+    /// Returns the generated text of an answer, streamed or not.
     pub fn text(&self) -> String {
         if let Ok(body) = serde_json::from_str::<Value>(&self.body) {
             return text_of(&body);
@@ -53,13 +53,13 @@
         parsed.map(|event| text_of(&event)).collect()
     }
 
-    /// Value of a header.
+    /// Returns the value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         let lines = self.head.lines().filter_map(|l| l.split_once(": "));
         lines.into_iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v)
     }
 
-    /// Whether a streamed answer says that it is complete.
+    /// Returns whether a streamed answer contains the end marker.
     pub fn done(&self) -> bool {
         self.body.contains("[DONE]")
     }
@@ -85,7 +85,7 @@
 pub fn send(addr: &str, request: &str) -> Conn {
     let mut sock = TcpStream::connect(addr).unwrap();
     sock.set_read_timeout(Some(TIMEOUT)).unwrap();
-    // The peer may refuse and close before it has read everything.
+    // The peer may refuse the request and close before it has read everything.
     let _ = sock.write_all(request.as_bytes());
     Conn { sock, raw: Vec::new() }
 }
@@ -97,7 +97,7 @@
         parse(&self.raw)
     }
 
-    /// Reads until `text` has come; returns all that came.
+    /// Reads until `text` is received and returns everything received so far.
     pub fn read_until(&mut self, text: &str) -> io::Result<String> {
         let mut buf = [0; 512];
         loop {
@@ -118,7 +118,7 @@
     }
 }
 
-/// Sends a request as it is, closes the sending side if asked, and reads the answer.
+/// Sends the text of a request, optionally closes the sending side, and reads the answer.
 pub fn raw(addr: &str, request: &str, half_close: bool) -> Answer {
     let conn = send(addr, request);
     if half_close {
@@ -127,7 +127,7 @@
     conn.read()
 }
 
-/// Text of a request.
+/// Returns the text of a request.
 pub fn request(method: &str, path: &str, headers: &[(&str, &str)], body: &str) -> String {
     let mut text =
         format!("{method} {path} HTTP/1.1\r\nhost: test\r\nconnection: close\r\n");
@@ -140,7 +140,7 @@
     format!("{text}\r\n{body}")
 }
 
-/// Text of a completion request.
+/// Returns the text of a completion request.
 pub fn completion(key: &str, body: &Value, headers: &[(&str, &str)]) -> String {
     let bearer = format!("Bearer {key}");
     let mut all = vec![("authorization", bearer.as_str())];
@@ -157,12 +157,12 @@
     send(addr, &completion(key, body, headers)).read()
 }
 
-/// Body of a streamed completion request.
+/// Returns the body of a streamed completion request.
 pub fn streamed(model: &str, prompt: &str, tokens: u64) -> Value {
     json!({ "model": model, "prompt": prompt, "max_tokens": tokens, "stream": true })
 }
 
-/// The text that the engine gives for a request.
+/// Returns the text that the engine stand-in generates for a request.
 pub fn expected(target: &str, prompt: &str, tokens: u64) -> String {
     let rest: String = (1..tokens).map(|n| format!(" {n}")).collect();
     format!("{target}|{prompt}|{rest}")
@@ -175,7 +175,7 @@
     send(addr, &request(method, path, &headers, "")).read()
 }
 
-/// Reads JSON of a stand-in.
+/// Requests JSON from a stand-in.
 pub fn get(addr: &str, path: &str) -> Value {
     let answer = send(addr, &request("GET", path, &[], "")).read();
     serde_json::from_str(&answer.body).unwrap()
@@ -187,7 +187,7 @@
     assert_eq!(answer.status, 200, "{answer:?}");
 }
 
-/// Status of a path.
+/// Returns the HTTP status of a path.
 pub fn status(addr: &str, path: &str) -> u16 {
     send(addr, &request("GET", path, &[], "")).read().status
 }
--- a/crates/larkspring-cli/tests/common/mod.rs
+++ b/crates/larkspring-cli/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A deployment of separate processes on loopback, with the stand-ins, for tests.
+//! Test deployments of separate processes on loopback, with stand-ins for the outside
+//! systems.
 #![allow(dead_code)]
 
 pub mod client;
@@ -21,24 +22,24 @@
 
 pub const KEY: &str = "key-of-agency";
 pub const OTHER_KEY: &str = "key-of-delta";
-/// Limit of a wait for a state; generous, since no verdict depends on time.
+/// Limits the wait for a state. Generous, since no check measures time.
 const LIMIT: Duration = Duration::from_secs(60);
 const POLL: Duration = Duration::from_millis(10);
 
-/// What a deployment consists of.
+/// Sizes and settings of a deployment.
 pub struct Plan {
     pub engines: usize,
     pub entries: usize,
     pub slots: usize,
-    /// Faults of each engine at its start.
+    /// Initial faults of each engine.
     pub engine: Value,
-    /// Faults of the weight store at its start.
+    /// Initial faults of the weight store.
     pub weights: Value,
-    /// More lines of each entry's and agent's settings, indented.
+    /// Further settings of each entry and agent, as indented lines.
     pub entry_settings: &'static str,
     pub agent_settings: &'static str,
     pub platform_settings: &'static str,
-    /// Addresses at which the entries serve operators, if they do.
+    /// Addresses at which the entries serve operators; empty for none.
     pub operators: Vec<String>,
 }
 
@@ -58,7 +59,7 @@
     }
 }
 
-/// A running deployment; everything ends with it.
+/// A running deployment. Its processes are killed when it is dropped.
 pub struct Cluster {
     pub objects: Proc,
     pub weights: Proc,
@@ -69,12 +70,12 @@
     pub service_agent: Proc,
     pub entries: Vec<Proc>,
     pub dir: TempDir,
-    /// Addresses at which the entries reach each other.
+    /// Control addresses of the entries, for each other.
     controls: Vec<String>,
     plan: Plan,
 }
 
-/// One process and the address that it printed.
+/// A process and the address that it printed.
 pub struct Proc {
     child: Child,
     args: Vec<String>,
@@ -128,7 +129,7 @@
         &self.entries[0].addr
     }
 
-    /// Starts one more entry.
+    /// Starts a further entry.
     pub fn add_entry(&mut self) {
         let n = self.entries.len();
         let file = self.dir.path().join(format!("entry-{n}.yaml"));
@@ -152,7 +153,7 @@
         self.entries.push(entry);
     }
 
-    /// The declarations; `engine_lines` is added to each engine's endpoint.
+    /// Returns the declarations, with `engine_lines` added to each engine's endpoint.
     pub fn declaration(&self, engine_lines: &str) -> String {
         let mut text = String::from("adapters:\n");
         for n in 0..20 {
@@ -192,7 +193,7 @@
         text
     }
 
-    /// Makes a text of declarations the declared state.
+    /// Publishes declarations as the declared state.
     pub fn declare(&self, text: &str) {
         let dir = self.dir.path().join("declarations");
         std::fs::create_dir_all(&dir).unwrap();
@@ -202,17 +203,17 @@
         assert!(out.status.success(), "{out:?}");
     }
 
-    /// Starts the agent of an engine again, at its old address.
+    /// Kills the agent of an engine and starts it again at the same address.
     pub fn restart_agent(&mut self, n: usize) {
         self.agents[n].restart();
     }
 
-    /// Starts an entry again, with its old address for other entries.
+    /// Kills an entry and starts it again with the same control address.
     pub fn restart_entry(&mut self, n: usize) {
         self.entries[n].restart();
     }
 
-    /// Waits until the entries hold all partitions of the keys among them.
+    /// Waits until the entries together hold all 64 partitions of the idempotency keys.
     pub fn wait_keys(&self) {
         until("all partitions are held", || {
             let held = self.entries.iter().map(|entry| entry.key_partitions());
@@ -220,12 +221,12 @@
         });
     }
 
-    /// Reads what an engine saw.
+    /// Returns the statistics of an engine.
     pub fn engine_stats(&self, n: usize) -> Value {
         get(&self.engines[n].addr, "/stats")
     }
 
-    /// Sets faults of an engine, on top of those of the plan.
+    /// Sets faults of an engine, in addition to its initial ones.
     pub fn engine_faults(&self, n: usize, more: Value) {
         let mut faults = self.plan.engine.clone();
         faults["slots"] = json!(self.plan.slots);
@@ -235,7 +236,7 @@
         post(&self.engines[n].addr, "/faults", &faults);
     }
 
-    /// Number of times that engines ran a prompt.
+    /// Returns the number of times that engines ran a prompt.
     pub fn runs_of(&self, prompt: &str) -> usize {
         let ends = format!(" {prompt}");
         let stats = (0..self.engines.len()).map(|n| self.engine_stats(n));
@@ -287,7 +288,7 @@
 }
 
 impl Proc {
-    /// Starts the program and waits for its address; its log goes beside its settings.
+    /// Starts the program and waits for its address. Its log is kept beside its settings.
     pub fn start(args: &[&str]) -> Self {
         let mut child = Command::new(env!("CARGO_BIN_EXE_larkspring"))
             .args(args)
@@ -302,7 +303,7 @@
             line.clear();
             let len = out.read_line(&mut line).unwrap();
             assert!(len > 0, "{args:?} printed no address");
-            // Log lines may come before the address.
+            // Log lines may precede the address.
             if !line.starts_with('{') {
                 break;
             }
@@ -325,18 +326,18 @@
         *self = Self::start(&args);
     }
 
-    /// Kills the process outright.
+    /// Kills the process without a graceful shutdown.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Partitions of the keys that an entry holds.
+    /// Returns the number of partitions of the idempotency keys that an entry holds.
     pub fn key_partitions(&self) -> u64 {
         get(&self.addr, "/health")["key_partitions"].as_u64().unwrap()
     }
 
-    /// Asks the process to stop as planned.
+    /// Requests a graceful shutdown.
     pub fn ask_to_stop(&self) {
         self.signal(Signal::TERM);
     }
@@ -346,7 +347,7 @@
         self.signal(Signal::STOP);
     }
 
-    /// Lets a paused process go on.
+    /// Continues a paused process.
     pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
@@ -356,12 +357,12 @@
         until("a process ends", || self.child.try_wait().unwrap().is_some());
     }
 
-    /// Whether the process has ended.
+    /// Returns whether the process has ended.
     pub fn has_ended(&mut self) -> bool {
         self.child.try_wait().unwrap().is_some()
     }
 
-    /// Resident memory in KB.
+    /// Returns the resident memory in KB.
     pub fn resident_kb(&self) -> u64 {
         let status = format!("/proc/{}/status", self.child.id());
         let text = std::fs::read_to_string(status).unwrap();
@@ -369,7 +370,7 @@
         line.split_whitespace().nth(1).unwrap().parse().unwrap()
     }
 
-    /// Processor time that the process has used.
+    /// Returns the CPU time that the process has used.
     pub fn cpu_time(&self) -> Duration {
         cpu_time(self.child.id())
     }
@@ -386,7 +387,7 @@
     }
 }
 
-/// Keeps the log of a process with settings beside them, for spans and for a look.
+/// Opens a log file beside the settings of a process, if it has settings.
 fn log_of(args: &[&str]) -> Option<File> {
     let settings = args.iter().skip_while(|a| **a != "--settings").nth(1)?;
     let file = Path::new(settings).with_extension("log");
@@ -394,8 +395,8 @@
     Some(log.unwrap())
 }
 
-/// A loopback address that no other process uses: each test process has a range of IP
-/// numbers of its own, so that a process can be started again at its old address.
+/// Returns a loopback address that no other process uses. Each test process has its own
+/// range of IP addresses, so that a process can be restarted at the same address.
 pub fn own_addr() -> String {
     static COUNT: AtomicU32 = AtomicU32::new(1);
     let (pid, count) = (std::process::id(), COUNT.fetch_add(1, Ordering::Relaxed));
@@ -406,7 +407,7 @@
 
 const OWN_PORT: u16 = 7000;
 
-/// Processor time that a process has used, in steps of 10 ms as the kernel tells it.
+/// Returns the CPU time that a process has used, in the kernel's resolution of 10 ms.
 pub fn cpu_time(pid: u32) -> Duration {
     const TICK: Duration = Duration::from_millis(10);
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap();
@@ -420,7 +421,7 @@
     Command::new(env!("CARGO_BIN_EXE_larkspring")).args(args).output().unwrap()
 }
 
-/// Waits until a state is seen.
+/// Polls until `seen` returns true. Panics after [`LIMIT`].
 pub fn until(what: &str, mut seen: impl FnMut() -> bool) {
     let end = Instant::now() + LIMIT;
     while !seen() {
--- a/crates/larkspring-cli/tests/common/site.rs
+++ b/crates/larkspring-cli/tests/common/site.rs
@@ -1,4 +1,5 @@
-//! A deployment on stand-ins of the users' platform: separate processes on loopback.
+//! Test deployments of separate processes on loopback, with stand-ins for the users'
+//! platform.
 
 use std::fs::File;
 use std::net::SocketAddr;
@@ -18,17 +19,17 @@
 
 use super::{own_addr, until};
 
-/// Time-out of the routes, in milliseconds: long, so that no test depends on it.
+/// Time-out of the routes, in milliseconds. Long, so that no test depends on it.
 pub const TIMEOUT_MS: u64 = 30_000;
-/// Adapter places of each engine.
+/// Number of adapter slots of each engine.
 pub const PLACES: usize = 3;
 /// Port of the engine beside an agent.
 const ENGINE_PORT: u16 = 7200;
 
-/// A running deployment; everything ends with it.
+/// A running deployment. Its processes are killed when it is dropped.
 pub struct Site {
     pub store: Store,
-    /// Plain workers.
+    /// Workers without a model engine.
     pub apps: Vec<Worker>,
     /// Model engines.
     pub engines: Vec<Worker>,
@@ -39,14 +40,14 @@
     shape: Shape,
 }
 
-/// Addresses by which processes reach the store.
+/// Addresses at which processes reach the store, for example through a proxy.
 #[derive(Debug, Clone, Copy)]
 pub struct Ways {
     pub agents: SocketAddr,
     pub entries: SocketAddr,
 }
 
-/// What a deployment consists of.
+/// Sizes and settings of a deployment.
 #[derive(Debug, Clone, Copy)]
 pub struct Shape {
     pub entries: usize,
@@ -54,9 +55,9 @@
     pub engines: usize,
     pub grace_s: u32,
     pub timeout_ms: u64,
-    /// Milliseconds within which a key that was taken away is refused everywhere.
+    /// Time within which a revoked key is refused everywhere, in milliseconds.
     pub revoke_ms: Option<u64>,
-    /// Least important log lines that are written.
+    /// Minimum level of the log lines that are written.
     pub log_level: &'static str,
 }
 
@@ -74,11 +75,11 @@
     }
 }
 
-/// One process on an IP number of its own.
+/// A process with its own IP address.
 pub struct Process {
     child: Child,
     args: [&'static str; 3],
-    /// Name of its settings file and log, without the ending.
+    /// Base name of its settings and log files.
     pub name: String,
     pub ip: String,
     dir: std::path::PathBuf,
@@ -91,7 +92,8 @@
         Self::start_behind(shape, |store| Ways { agents: store, entries: store })
     }
 
-    /// The same, where processes reach the store by other addresses.
+    /// Starts a deployment whose processes reach the store at the addresses that `ways`
+    /// returns for the store's address, and waits until it serves.
     pub fn start_behind(shape: Shape, ways: impl FnOnce(SocketAddr) -> Ways) -> Self {
         let site = Self::behind(shape, ways);
         site.store.put("config", "main", config(1, shape.timeout_ms, PLACES));
@@ -105,12 +107,13 @@
         site
     }
 
-    /// Starts a deployment whose store holds nothing yet.
+    /// Starts a deployment with an empty store.
     pub fn without_config(shape: Shape) -> Self {
         Self::behind(shape, |store| Ways { agents: store, entries: store })
     }
 
-    /// The same, where processes reach the store by other addresses.
+    /// Starts a deployment with an empty store, which processes reach at the addresses
+    /// that `ways` returns for the store's address.
     pub fn behind(shape: Shape, ways: impl FnOnce(SocketAddr) -> Ways) -> Self {
         let store = Store::start("127.0.0.1:0");
         let ways = ways(store.addr);
@@ -142,7 +145,7 @@
         site
     }
 
-    /// Lists all workers as ready.
+    /// Writes all workers to the platform's server list as ready.
     pub fn list_all(&self) {
         for (n, app) in self.apps.iter().enumerate() {
             self.store.put(
@@ -157,8 +160,8 @@
         }
     }
 
-    /// Starts the workers again that have ended, as new runs, and lists them in place of the
-    /// former ones.
+    /// Restarts the workers that have ended, as new runs with new ids, and lists them in
+    /// place of the former runs. `runs` counts them, for the ids.
     pub fn revive(&self, runs: &mut usize) {
         for (kind, service, workers) in
             [("app", "app", &self.apps), ("llm", "llm", &self.engines)]
@@ -174,7 +177,8 @@
         }
     }
 
-    /// Waits until every entry hears every agent, and is served an adapter by one of them.
+    /// Waits until every entry has served a request with an adapter and, if its log level
+    /// shows that, has logged a connection to every agent.
     pub fn wait_agents(&self) {
         let says_so = !matches!(self.shape.log_level, "error" | "off");
         for n in 0..self.entries.len() {
@@ -194,12 +198,12 @@
         }
     }
 
-    /// Address of an entry for clients.
+    /// Returns the address of an entry for clients.
     pub fn front(&self, n: usize) -> String {
         format!("{}:{FRONT_PORT}", self.entries[n].ip)
     }
 
-    /// Status of an entry's readiness; 0 if it does not answer.
+    /// Returns the HTTP status of an entry's readiness; 0 if it refuses connections.
     pub fn ready(&self, n: usize) -> u16 {
         let addr = format!("{}:{READY_PORT}", self.entries[n].ip);
         match std::net::TcpStream::connect(&addr) {
@@ -208,12 +212,12 @@
         }
     }
 
-    /// Metrics of a process, as text.
+    /// Returns the metrics of a process as text.
     pub fn metrics(&self, ip: &str) -> String {
         ask(&format!("{ip}:9464"), "/metrics").text()
     }
 
-    /// Address at which an agent takes entries.
+    /// Returns the address of an agent for entries.
     pub fn agent_addr(&self, n: usize) -> SocketAddr {
         format!("{}:{INNER_PORT}", self.agents[n].ip).parse().unwrap()
     }
@@ -247,30 +251,30 @@
 }
 
 impl Process {
-    /// Kills the process and starts it again at its old address.
+    /// Kills the process and starts it again at the same address.
     pub fn restart(&mut self) {
         self.kill();
         self.child = spawn(&self.args, &self.dir, &self.name, self.lives);
         self.lives += 1;
     }
 
-    /// Kills the process outright.
+    /// Kills the process without a graceful shutdown.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Asks the process to stop as planned.
+    /// Requests a graceful shutdown.
     pub fn ask_to_stop(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// Asks the process to read its settings again.
+    /// Requests a reload of the settings.
     pub fn ask_to_reload(&self) {
         self.signal(Signal::HUP);
     }
 
-    /// Processor time that the process has used.
+    /// Returns the CPU time that the process has used.
     pub fn cpu_time(&self) -> Duration {
         super::cpu_time(self.child.id())
     }
@@ -280,12 +284,12 @@
         self.signal(Signal::STOP);
     }
 
-    /// Lets a paused process go on.
+    /// Continues a paused process.
     pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Waits until the process has ended; whether it ended well.
+    /// Waits until the process has ended and returns whether it succeeded.
     pub fn wait_end(&mut self) -> bool {
         let mut well = false;
         until("a process ends", || match self.child.try_wait().unwrap() {
@@ -298,7 +302,7 @@
         well
     }
 
-    /// Its log lines of all lives.
+    /// Returns the log lines of all its runs.
     pub fn log(&self) -> Vec<Value> {
         let mut lines = Vec::new();
         for life in 0..self.lives {
@@ -309,7 +313,7 @@
         lines
     }
 
-    /// Its log lines about a request.
+    /// Returns the log lines that name a request.
     pub fn log_of(&self, request: &str) -> Vec<Value> {
         let about = |line: &Value| line["request"] == request;
         self.log().into_iter().filter(about).collect()
@@ -338,10 +342,10 @@
         .unwrap()
 }
 
-/// An IP number that no other process uses.
+/// Returns an IP address that no other process uses.
 pub fn own_ip() -> String {
     own_addr().rsplit_once(':').unwrap().0.to_owned()
 }
 
-/// Time for what should not come, in checks that something stays as it is.
+/// Time to wait in checks that a state doesn't change.
 pub const SHORT: Duration = Duration::from_millis(300);
--- a/crates/larkspring-cli/tests/config.rs
+++ b/crates/larkspring-cli/tests/config.rs
@@ -1,5 +1,5 @@
-//! Declared state on separate processes: in force everywhere, never reverting, through
-//! races, lost replies and outages of the object API.
+//! Declared state on separate processes: changes reach all processes and are never
+//! reverted, despite races, lost replies and outages of the object API.
 
 mod common;
 
@@ -40,7 +40,7 @@
     );
     assert_ne!(text, leaving);
     cluster.declare(&leaving);
-    // The agent itself refuses, whatever an entry still believes.
+    // The agent refuses by itself, also if an entry has not applied the change yet.
     until("the agent knows", || {
         let log = cluster.dir.path().join("engine-0.log");
         std::fs::read_to_string(log).unwrap().contains("\"revision\":2")
@@ -270,7 +270,7 @@
     assert!(matches!(word, Some(Kind::Begin(_))), "{word:?}");
 }
 
-/// Sends a request to an agent as an entry does and returns the first word of the answer.
+/// Sends a request to an agent as an entry does and returns the first message in reply.
 async fn first_word(agent: &str, start: Start) -> Option<Kind> {
     let channel = Pool::new(1, CONNECT).get(agent).await.unwrap();
     let origin = channel.origin();
--- a/crates/larkspring-cli/tests/faults.rs
+++ b/crates/larkspring-cli/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Faults on the path of a request, made on separate processes.
+//! Faults on the path of a request, injected into separate processes.
 
 mod common;
 
@@ -18,7 +18,7 @@
     sock.read_until("a0@v1|left|").unwrap();
     drop(sock);
     until("the engine was told", || cluster.engine_stats(0)["cancelled"] == 1);
-    // The one slot is free again only if the pin is gone.
+    // The only slot becomes free only if the pin is released.
     let answer = complete(cluster.entry(), KEY, &streamed("a1", "next", 2), &[]);
     assert_eq!(answer.text(), expected("a1@v1", "next", 2));
     assert_eq!(cluster.engine_stats(0)["unloads_in_use"], 0);
@@ -135,8 +135,8 @@
     for sock in &mut stalled {
         sock.read_until("|").unwrap();
     }
-    // The engine stops giving tokens to an answer that nobody reads, so that from some
-    // time on only the reading caller gets any.
+    // The engine generates no more tokens for an answer that is not read, so that after
+    // some time only the reading caller receives tokens.
     until("the stalled answers stand still", || {
         let before = cluster.engine_stats(0)["tokens"].clone();
         let body = streamed("a0", "probe", 20);
@@ -297,7 +297,8 @@
             send(cluster.entry(), &completion(KEY, &body, &[]))
         })
         .collect();
-    // Some reach the hanging engine first, and some after the other one refused them.
+    // Some requests reach the hanging engine first, others after the other engine refused
+    // them.
     until("all hang", || cluster.runs_of("unclear") == 8);
     cluster.agents[0].kill();
     for ask in asks {
--- a/crates/larkspring-cli/tests/once.rs
+++ b/crates/larkspring-cli/tests/once.rs
@@ -1,5 +1,5 @@
-//! At most once, on separate processes: the same key through several entries, and with
-//! each process on the way killed, paused or cut off from the object API.
+//! Requests that run at most once, on separate processes: with the same key at several
+//! entries, and with each process killed, paused or disconnected from the object API.
 
 mod common;
 
@@ -18,7 +18,7 @@
     cluster
 }
 
-/// Sends a request that runs at most once under `key`.
+/// Sends a request that runs at most once, with the idempotency key `key`.
 fn ask(entry: &str, key: &str, prompt: &str, tokens: u64) -> Answer {
     let body = streamed("once", prompt, tokens);
     complete(entry, KEY, &body, &[("idempotency-key", key)])
@@ -110,7 +110,7 @@
         assert_eq!((resend.status, &*resend.outcome()), (409, "unknown"));
     }
     assert_eq!(cluster.runs_of("unclear"), 1);
-    // The same with an agent that dies under the request.
+    // The same with an agent that is killed during the request.
     let key = fresh_key();
     let headers = [("idempotency-key", key.as_str())];
     let body = streamed("once", "agent-died", LONG);
@@ -158,8 +158,8 @@
 
 #[test]
 fn object_api_outage_right_after_an_entry_joined_stops_no_claim() {
-    // The first entry looks at the table every 4 to 6 s, so that it would learn of the
-    // second one's partitions long after the outage has begun.
+    // The first entry reads the key table only every 4 to 6 s: too late to find the
+    // second entry's partitions there before the outage.
     let entry_settings = "  max_key_partitions: 56\n";
     let mut cluster =
         Cluster::start(Plan { entries: 1, entry_settings, ..Plan::default() });
@@ -183,7 +183,7 @@
     for (key, prompt) in &keys {
         assert_eq!(ask(cluster.entry(), key, prompt, 2).status, 200);
     }
-    // The new run at the same address proves the end of the old one.
+    // A new run at the same address proves that the old run has ended.
     cluster.restart_entry(0);
     until("the entry is ready", || {
         common::client::status(cluster.entry(), "/health") == 200
@@ -217,7 +217,7 @@
     for (key, prompt) in keys.iter().chain(&of_two) {
         ask(&cluster.entries[1].addr, key, prompt, 2);
     }
-    // The paused entry resumes and may still think that it is in charge.
+    // The resumed entry may still assume that its lease is valid.
     cluster.entries[0].resume();
     for (key, prompt) in keys.iter().chain(&of_two) {
         ask(&cluster.entries[0].addr, key, prompt, 2);
@@ -261,7 +261,7 @@
     assert_eq!(call(cluster.entry(), &key).status, 200);
     until("the answer is kept", || call(&cluster.entries[1].addr, &key).status == 200);
     assert_eq!(runs(), 1);
-    // One that runs and never answers is not sent again.
+    // A call that runs and is never answered is not retried.
     post(&cluster.service.addr, "/faults", &json!({ "hang": 1 }));
     let key = fresh_key();
     let bearer = format!("Bearer {KEY}");
--- a/crates/larkspring-cli/tests/path.rs
+++ b/crates/larkspring-cli/tests/path.rs
@@ -1,4 +1,4 @@
-//! The path of a request through separate processes: exact answers and honest errors.
+//! Requests through separate processes: exact answers, and errors with the right outcome.
 
 mod common;
 
--- a/crates/larkspring-cli/tests/plan.rs
+++ b/crates/larkspring-cli/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Plans and confirmations on separate processes: races, repeats and lost replies.
+//! Plans and confirmations on separate processes, with races, retries and lost replies.
 
 mod common;
 
@@ -33,7 +33,7 @@
         Self { cluster, operators }
     }
 
-    /// Runs an operator's command at an entry.
+    /// Runs an operator command against an entry.
     fn command(&self, entry: usize, args: &[&str]) -> Output {
         let key = self.cluster.dir.path().join("key");
         let mut all = args.to_vec();
@@ -42,7 +42,7 @@
         run(&all)
     }
 
-    /// Makes a plan for a declaration.
+    /// Requests a plan for declarations.
     fn plan(&self, entry: usize, text: &str) -> Value {
         let name = format!("plan-{:x}", xxh(text));
         let dir = self.cluster.dir.path().join(name);
@@ -157,7 +157,7 @@
             send(&it.operators[0], &request("GET", "/status", &headers, "")).read();
         assert_eq!(answer.status, 401, "{key}");
     }
-    // The operators' key opens nothing towards callers.
+    // The operators' key is not valid for callers.
     let answer = common::client::complete(
         it.cluster.entry(),
         OPERATOR_KEY,
