--- a/crates/larkspring-cli/tests/common/client.rs
+++ b/crates/larkspring-cli/tests/common/client.rs
@@ -10,7 +10,7 @@
 use super::KEY;
 
 /// Maximum number of bytes of a body's end that a failed check prints.
-const SHOWN: usize = 400;
+const MAX_PRINTED_BYTES: usize = 400;
 const TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A connection with all the bytes received on it.
@@ -67,7 +67,7 @@
 
 impl Debug for Answer {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        let start = self.body.len().saturating_sub(SHOWN);
+        let start = self.body.len().saturating_sub(MAX_PRINTED_BYTES);
         let end = self.body.get(start..).unwrap_or_default();
         let shown = (self.status, self.whole, end);
         write!(f, "{shown:?}")
@@ -76,9 +76,9 @@
 
 fn text_of(body: &Value) -> String {
     let choice = &body["choices"][0];
-    let places =
+    let texts =
         [&choice["text"], &choice["delta"]["content"], &choice["message"]["content"]];
-    places.iter().filter_map(|v| v.as_str()).collect()
+    texts.iter().filter_map(|v| v.as_str()).collect()
 }
 
 /// Opens a connection and sends a request on it.
@@ -101,9 +101,9 @@
     pub fn read_until(&mut self, text: &str) -> io::Result<String> {
         let mut buf = [0; 512];
         loop {
-            let came = String::from_utf8_lossy(&self.raw);
-            if came.contains(text) {
-                return Ok(came.into_owned());
+            let received = String::from_utf8_lossy(&self.raw);
+            if received.contains(text) {
+                return Ok(received.into_owned());
             }
             match self.sock.read(&mut buf)? {
                 0 => return Err(io::ErrorKind::UnexpectedEof.into()),
--- a/crates/larkspring-cli/tests/common/mod.rs
+++ b/crates/larkspring-cli/tests/common/mod.rs
@@ -23,8 +23,8 @@
 pub const KEY: &str = "key-of-agency";
 pub const OTHER_KEY: &str = "key-of-delta";
 /// Limits the wait for a state. Generous, since no check measures time.
-const LIMIT: Duration = Duration::from_secs(60);
-const POLL: Duration = Duration::from_millis(10);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Sizes and settings of a deployment.
 pub struct Plan {
@@ -71,7 +71,7 @@
     pub entries: Vec<Proc>,
     pub dir: TempDir,
     /// Control addresses of the entries, for each other.
-    controls: Vec<String>,
+    control_addrs: Vec<String>,
     plan: Plan,
 }
 
@@ -114,14 +114,14 @@
             service_agent,
             entries,
             dir,
-            controls: Vec::new(),
+            control_addrs: Vec::new(),
             plan,
         };
         cluster.declare(&cluster.declaration(""));
         for _ in 0..cluster.plan.entries {
             cluster.add_entry();
         }
-        cluster.wait_ready();
+        cluster.wait_until_ready();
         cluster
     }
 
@@ -134,7 +134,7 @@
         let n = self.entries.len();
         let file = self.dir.path().join(format!("entry-{n}.yaml"));
         let control = own_addr();
-        let peers = self.controls.join(", ");
+        let peers = self.control_addrs.join(", ");
         let text = format!(
             "hall: h\nvm: vm-entry-{n}\nplatform:\n  objects: {}\n  vms: {}\n  \
              timeout_ms: 500\n  peers: [{peers}]\n{}telemetry:\n  spans: true\n\
@@ -147,7 +147,7 @@
         let operator =
             self.plan.operators.get(n).map(|addr| format!("  operator: {addr}\n"));
         let text = text + operator.as_deref().unwrap_or_default();
-        self.controls.push(control);
+        self.control_addrs.push(control);
         std::fs::write(&file, text).unwrap();
         let entry = Proc::start(&["entry", "--settings", file.to_str().unwrap()]);
         self.entries.push(entry);
@@ -248,7 +248,7 @@
             .sum()
     }
 
-    fn wait_ready(&self) {
+    fn wait_until_ready(&self) {
         for entry in &self.entries {
             until("an entry is ready", || client::status(&entry.addr, "/health") == 200);
         }
@@ -298,7 +298,7 @@
             .unwrap();
         let mut line = String::new();
         let mut out = BufReader::new(child.stdout.take().unwrap());
-        let mut log = log_of(args);
+        let mut log = open_log(args);
         loop {
             line.clear();
             let len = out.read_line(&mut line).unwrap();
@@ -388,7 +388,7 @@
 }
 
 /// Opens a log file beside the settings of a process, if it has settings.
-fn log_of(args: &[&str]) -> Option<File> {
+fn open_log(args: &[&str]) -> Option<File> {
     let settings = args.iter().skip_while(|a| **a != "--settings").nth(1)?;
     let file = Path::new(settings).with_extension("log");
     let log = File::options().create(true).append(true).open(file);
@@ -421,11 +421,11 @@
     Command::new(env!("CARGO_BIN_EXE_larkspring")).args(args).output().unwrap()
 }
 
-/// Polls until `seen` returns true. Panics after [`LIMIT`].
+/// Polls until `seen` returns true. Panics after [`WAIT_TIMEOUT`].
 pub fn until(what: &str, mut seen: impl FnMut() -> bool) {
-    let end = Instant::now() + LIMIT;
+    let end = Instant::now() + WAIT_TIMEOUT;
     while !seen() {
         assert!(Instant::now() < end, "not seen: {what}");
-        std::thread::park_timeout(POLL);
+        std::thread::park_timeout(POLL_INTERVAL);
     }
 }
--- a/crates/larkspring-cli/tests/common/site.rs
+++ b/crates/larkspring-cli/tests/common/site.rs
@@ -83,7 +83,7 @@
     pub name: String,
     pub ip: String,
     dir: std::path::PathBuf,
-    lives: usize,
+    run_count: usize,
 }
 
 impl Site {
@@ -180,15 +180,17 @@
     /// Waits until every entry has served a request with an adapter and, if its log level
     /// shows that, has logged a connection to every agent.
     pub fn wait_agents(&self) {
-        let says_so = !matches!(self.shape.log_level, "error" | "off");
+        let logs_connections = !matches!(self.shape.log_level, "error" | "off");
         for n in 0..self.entries.len() {
-            let agents = if says_so { self.agents.len() } else { 0 };
+            let agents = if logs_connections { self.agents.len() } else { 0 };
             for agent in 0..agents {
                 let name = format!("agent {}", self.agent_addr(agent));
                 until("an entry hears an agent", || {
                     let log = self.entries[n].log();
-                    let heard = |line: &Value| line["event"] == "dependency regained";
-                    log.iter().any(|line| heard(line) && line["name"] == name.as_str())
+                    let is_connection =
+                        |line: &Value| line["event"] == "dependency regained";
+                    log.iter()
+                        .any(|line| is_connection(line) && line["name"] == name.as_str())
                 });
             }
             until("an adapter is served", || {
@@ -246,7 +248,7 @@
         std::fs::write(dir.join(format!("{name}.yaml")), node.yaml()).unwrap();
         let args = [role, "--log-level", self.shape.log_level];
         let child = spawn(&args, &dir, name, 0);
-        Process { child, args, name: name.into(), ip, dir, lives: 1 }
+        Process { child, args, name: name.into(), ip, dir, run_count: 1 }
     }
 }
 
@@ -254,8 +256,8 @@
     /// Kills the process and starts it again at the same address.
     pub fn restart(&mut self) {
         self.kill();
-        self.child = spawn(&self.args, &self.dir, &self.name, self.lives);
-        self.lives += 1;
+        self.child = spawn(&self.args, &self.dir, &self.name, self.run_count);
+        self.run_count += 1;
     }
 
     /// Kills the process without a graceful shutdown.
@@ -291,22 +293,22 @@
 
     /// Waits until the process has ended and returns whether it succeeded.
     pub fn wait_end(&mut self) -> bool {
-        let mut well = false;
+        let mut success = false;
         until("a process ends", || match self.child.try_wait().unwrap() {
             Some(status) => {
-                well = status.success();
+                success = status.success();
                 true
             }
             None => false,
         });
-        well
+        success
     }
 
     /// Returns the log lines of all its runs.
     pub fn log(&self) -> Vec<Value> {
         let mut lines = Vec::new();
-        for life in 0..self.lives {
-            let file = self.dir.join(format!("{}.{life}.log", self.name));
+        for run in 0..self.run_count {
+            let file = self.dir.join(format!("{}.{run}.log", self.name));
             let text = std::fs::read_to_string(file).unwrap_or_default();
             lines.extend(text.lines().filter_map(|l| serde_json::from_str(l).ok()));
         }
@@ -331,8 +333,8 @@
     }
 }
 
-fn spawn(args: &[&str], dir: &std::path::Path, name: &str, life: usize) -> Child {
-    let log = File::create(dir.join(format!("{name}.{life}.log"))).unwrap();
+fn spawn(args: &[&str], dir: &std::path::Path, name: &str, run: usize) -> Child {
+    let log = File::create(dir.join(format!("{name}.{run}.log"))).unwrap();
     Command::new(env!("CARGO_BIN_EXE_larkspring"))
         .args(args)
         .env(SETTINGS, dir.join(format!("{name}.yaml")))
--- a/crates/larkspring-cli/tests/config.rs
+++ b/crates/larkspring-cli/tests/config.rs
@@ -16,14 +16,14 @@
 use larkspring_proto::agent::{dispatch_up, DispatchUp, ModelTarget, Start};
 use serde_json::json;
 
-const CONNECT: Duration = Duration::from_secs(10);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(10);
 
 fn revision(addr: &str) -> u64 {
     get(addr, "/health")["revision"].as_u64().unwrap()
 }
 
 #[test]
-fn declared_leaving_endpoint_finishes_its_work_and_gets_nothing_new() {
+fn endpoint_declared_draining_finishes_its_requests_and_gets_no_new_ones() {
     let cluster = Cluster::start(Plan { engines: 2, ..Plan::default() });
     let mut held = Vec::new();
     for n in 0..8 {
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn racing_changes_end_with_one_order_that_never_reverts() {
+fn concurrent_changes_are_ordered_and_never_reverted() {
     let cluster = Cluster::start(Plan { entries: 2, ..Plan::default() });
     let objects = cluster.objects.addr.clone();
     let dirs: Vec<_> = (0..6)
@@ -79,11 +79,11 @@
             run(&["apply", dir.to_str().unwrap(), "--objects", &objects])
         })
     });
-    let ended: Vec<_> =
+    let outputs: Vec<_> =
         changes.collect::<Vec<_>>().into_iter().map(|c| c.join().unwrap()).collect();
-    let accepted = ended.iter().filter(|out| out.status.success()).count() as u64;
+    let accepted = outputs.iter().filter(|out| out.status.success()).count() as u64;
     assert!(accepted >= 1);
-    for out in ended.iter().filter(|out| !out.status.success()) {
+    for out in outputs.iter().filter(|out| !out.status.success()) {
         let text = String::from_utf8_lossy(&out.stderr);
         assert!(text.contains("another change made revision"), "{text}");
     }
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn outage_of_the_object_api_changes_nothing_in_force() {
+fn object_api_outage_keeps_the_state_in_force() {
     let cluster = Cluster::start(Plan::default());
     post(&cluster.objects.addr, "/faults", &json!({ "outage": true }));
     let dir = cluster.dir.path().join("declarations");
@@ -137,51 +137,47 @@
 }
 
 #[test]
-fn faulty_declarations_and_settings_name_file_line_and_key() {
+fn invalid_declarations_and_settings_name_file_line_and_key() {
     struct Case {
         settings: bool,
         text: &'static str,
         line: &'static str,
     }
-    let entry = |settings, text, line| Case { settings, text, line };
+    let case = |settings, text, line| Case { settings, text, line };
     let cases = [
-        entry(
+        case(
             true,
             "hall: h\nvm: v\nentry:\n  lisen: x\n",
             ":4: entry: unknown field `lisen`",
         ),
-        entry(
+        case(
             true,
             "hall: h\nvm: v\nplatform:\n  objects: here\nentry:\n  listen: 127.0.0.1:1\n",
             ":4: platform.objects: `here` is no address",
         ),
-        entry(
+        case(
             true,
             "vm: v\nplatform:\n  objects: 127.0.0.1:1\nentry:\n  listen: 127.0.0.1:1\n",
             ":1: hall: a name is needed",
         ),
-        entry(
+        case(
             true,
             "hall: h\nvm: v\nplatform:\n  objects: 127.0.0.1:1\nentry:\n  \
              listen: 127.0.0.1:1\n  max_streams: 5\n  max_streams_per_caller: 9\n",
             ":8: entry.max_streams_per_caller: the limit is over",
         ),
-        entry(
-            false,
-            "adapters:\n- name: a\n  bas: b\n",
-            ":3: adapters[0]: unknown field",
-        ),
-        entry(
+        case(false, "adapters:\n- name: a\n  bas: b\n", ":3: adapters[0]: unknown field"),
+        case(
             false,
             "adapters:\n- name: a\n  base: b\n  default_version: v\n",
             ":2: adapter `a`: default_version `v` is no live version",
         ),
-        entry(
+        case(
             false,
             "endpoints:\n- name: e\n  base: b\n  agent: there\n",
             ":2: endpoint `e`: agent is no address",
         ),
-        entry(false, "callers:\n- name: c\n  key_sha256: abc\n", ":2: caller `c`"),
+        case(false, "callers:\n- name: c\n  key_sha256: abc\n", ":2: caller `c`"),
     ];
     let dir = tempfile::tempdir().unwrap();
     for case in cases {
@@ -199,17 +195,17 @@
 }
 
 #[test]
-fn change_reaches_all_though_the_one_that_was_followed_died() {
+fn change_reaches_all_after_the_followed_entry_was_killed() {
     let mut cluster = Cluster::start(Plan { entries: 3, ..Plan::default() });
     cluster.wait_keys();
     for n in 0..3 {
         cluster.entries[n].kill();
-        let left = cluster.entries[(n + 1) % 3].addr.clone();
+        let remaining = cluster.entries[(n + 1) % 3].addr.clone();
         let name = format!("c{n}");
         cluster.declare(&cluster.declaration("").replace("name: a19", &name_line(&name)));
         let answered = || {
             let body = streamed(&name, "new", 2);
-            complete(&left, KEY, &body, &[]).text()
+            complete(&remaining, KEY, &body, &[]).text()
                 == expected(&format!("{name}@v1"), "new", 2)
         };
         until("entry and agent know the new adapter", answered);
@@ -225,7 +221,7 @@
 }
 
 #[test]
-fn process_that_starts_in_an_outage_takes_a_peers_state() {
+fn process_started_in_an_outage_takes_the_state_of_a_peer() {
     let mut cluster = Cluster::start(Plan::default());
     cluster.wait_keys();
     post(&cluster.objects.addr, "/faults", &json!({ "outage": true }));
@@ -239,7 +235,7 @@
 }
 
 #[test]
-fn agent_waits_for_the_state_that_an_entry_decided_by() {
+fn agent_waits_for_the_revision_that_a_request_names() {
     let cluster = Cluster::start(Plan::default());
     let log = cluster.dir.path().join("engine-0.log");
     let declared = revision(cluster.entry());
@@ -260,19 +256,19 @@
         ..Start::default()
     };
     let agent = cluster.agents[0].addr.clone();
-    let asked = thread::spawn(move || exec::run(1, first_word(&agent, start)));
+    let reply = thread::spawn(move || exec::run(1, first_message(&agent, start)));
     until("the request waits or is answered", || {
         let text = std::fs::read_to_string(&log).unwrap();
-        text.contains("waits for the declared state") || asked.is_finished()
+        text.contains("waits for the declared state") || reply.is_finished()
     });
     cluster.declare(&cluster.declaration("").replace("name: a19", "name: late"));
-    let word = asked.join().unwrap();
-    assert!(matches!(word, Some(Kind::Begin(_))), "{word:?}");
+    let first = reply.join().unwrap();
+    assert!(matches!(first, Some(Kind::Begin(_))), "{first:?}");
 }
 
 /// Sends a request to an agent as an entry does and returns the first message in reply.
-async fn first_word(agent: &str, start: Start) -> Option<Kind> {
-    let channel = Pool::new(1, CONNECT).get(agent).await.unwrap();
+async fn first_message(agent: &str, start: Start) -> Option<Kind> {
+    let channel = Pool::new(1, CONNECT_TIMEOUT).get(agent).await.unwrap();
     let origin = channel.origin();
     let mut client = AgentClient::with_origin(channel, origin);
     let up = DispatchUp { kind: Some(dispatch_up::Kind::Start(start)) };
@@ -282,14 +278,14 @@
 }
 
 #[test]
-fn loads_stay_within_the_stores_budget() {
+fn loads_stay_within_the_weight_store_budget() {
     let cluster = Cluster::start(Plan {
         engines: 6,
         weights: json!({ "rate": 8.0, "concurrency": 2, "load_ms": 100 }),
         platform_settings: "  load_rate: 8\n  load_concurrency: 2\n",
         ..Plan::default()
     });
-    let asks = (0..19).map(|n| {
+    let threads = (0..19).map(|n| {
         let entry = cluster.entry().to_owned();
         thread::spawn(move || {
             let model = format!("a{n}@v2");
@@ -297,8 +293,8 @@
             (answer, expected(&model, "cold", 2))
         })
     });
-    for ask in asks.collect::<Vec<_>>() {
-        let (answer, expected) = ask.join().unwrap();
+    for thread in threads.collect::<Vec<_>>() {
+        let (answer, expected) = thread.join().unwrap();
         assert_eq!(answer.text(), expected, "{answer:?}");
     }
     let stats = get(&cluster.weights.addr, "/stats");
@@ -306,20 +302,20 @@
 }
 
 #[test]
-fn endpoint_whose_vm_is_leaving_gets_nothing_new_until_it_stays() {
+fn endpoint_on_a_leaving_vm_gets_no_requests_until_the_vm_stays() {
     let cluster = Cluster::start(Plan { engines: 2, entries: 2, ..Plan::default() });
     cluster.wait_keys();
     let list = |leaving: bool| {
         let vms = json!([{ "name": "vm-engine-0", "leaving": leaving }]);
         post(&cluster.vms.addr, "/faults", &json!({ "vms": vms, "lag_ms": 100 }));
     };
-    let seen = |count: usize| {
+    let vm_change_was_logged = |count: usize| {
         let log = cluster.dir.path().join("engine-0.log");
         let text = std::fs::read_to_string(log).unwrap();
         text.matches("VMs are leaving").count() >= count
     };
     let runs = || cluster.engine_stats(0)["runs"].as_array().unwrap().len();
-    let ask_all = || {
+    let send_to_all_adapters = || {
         for n in 0..12 {
             let body = streamed(&format!("a{n}"), "new", 2);
             let answer = complete(&cluster.entries[n % 2].addr, KEY, &body, &[]);
@@ -331,14 +327,14 @@
         }
     };
     list(true);
-    until("the agent knows", || seen(1));
+    until("the agent knows", || vm_change_was_logged(1));
     let before = runs();
-    ask_all();
+    send_to_all_adapters();
     assert_eq!(runs(), before);
     list(false);
-    until("the agent knows", || seen(2));
+    until("the agent knows", || vm_change_was_logged(2));
     until("it serves again", || {
-        ask_all();
+        send_to_all_adapters();
         runs() > before
     });
 }
--- a/crates/larkspring-cli/tests/faults.rs
+++ b/crates/larkspring-cli/tests/faults.rs
@@ -8,13 +8,15 @@
 use common::{until, Cluster, Plan, KEY};
 use serde_json::json;
 
-const LONG: u64 = 1_000_000;
+const LONG_ANSWER_TOKENS: u64 = 1_000_000;
 
 #[test]
-fn hang_up_while_streaming_cancels_and_releases_the_pin() {
+fn disconnect_while_streaming_cancels_and_releases_the_pin() {
     let cluster = Cluster::start(Plan { slots: 1, ..Plan::default() });
-    let mut sock =
-        send(cluster.entry(), &completion(KEY, &streamed("a0", "left", LONG), &[]));
+    let mut sock = send(
+        cluster.entry(),
+        &completion(KEY, &streamed("a0", "left", LONG_ANSWER_TOKENS), &[]),
+    );
     sock.read_until("a0@v1|left|").unwrap();
     drop(sock);
     until("the engine was told", || cluster.engine_stats(0)["cancelled"] == 1);
@@ -25,10 +27,12 @@
 }
 
 #[test]
-fn hang_up_while_waiting_leaves_the_queue() {
+fn disconnect_while_waiting_removes_the_request() {
     let cluster = Cluster::start(Plan { slots: 1, ..Plan::default() });
-    let mut holder =
-        send(cluster.entry(), &completion(KEY, &streamed("a0", "holder", LONG), &[]));
+    let mut holder = send(
+        cluster.entry(),
+        &completion(KEY, &streamed("a0", "holder", LONG_ANSWER_TOKENS), &[]),
+    );
     holder.read_until("a0@v1|holder|").unwrap();
     let waiting =
         send(cluster.entry(), &completion(KEY, &streamed("a1", "gone", 2), &[]));
@@ -40,7 +44,7 @@
 }
 
 #[test]
-fn broken_engine_answer_is_resumed_or_ends_visibly_broken() {
+fn interrupted_answer_is_resumed_or_ends_with_an_error() {
     struct Case {
         resumable: bool,
         restart: bool,
@@ -53,7 +57,7 @@
     ];
     let cluster = Cluster::start(Plan::default());
     for case in cases {
-        let tokens = if case.restart { LONG } else { 50 };
+        let tokens = if case.restart { LONG_ANSWER_TOKENS } else { 50 };
         let broken = if case.restart { json!(null) } else { json!(7) };
         cluster.engine_faults(
             0,
@@ -76,10 +80,12 @@
 }
 
 #[test]
-fn engine_process_that_dies_ends_its_answers_visibly_broken() {
+fn answer_of_a_killed_engine_ends_visibly_incomplete() {
     let mut cluster = Cluster::start(Plan::default());
-    let mut sock =
-        send(cluster.entry(), &completion(KEY, &streamed("a0", "killed", LONG), &[]));
+    let mut sock = send(
+        cluster.entry(),
+        &completion(KEY, &streamed("a0", "killed", LONG_ANSWER_TOKENS), &[]),
+    );
     sock.read_until("a0@v1|killed|").unwrap();
     cluster.engines[0].kill();
     let answer = sock.read();
@@ -90,7 +96,7 @@
 }
 
 #[test]
-fn agent_that_dies_is_passed_over_or_refused_as_not_run() {
+fn killed_agent_is_skipped_or_requests_are_refused_as_not_run() {
     let mut cluster = Cluster::start(Plan { engines: 2, ..Plan::default() });
     cluster.agents[0].kill();
     for n in 0..8 {
@@ -105,10 +111,12 @@
 }
 
 #[test]
-fn agent_that_dies_in_mid_answer_leaves_it_visibly_broken() {
+fn answer_of_a_killed_agent_ends_visibly_incomplete() {
     let mut cluster = Cluster::start(Plan::default());
-    let mut sock =
-        send(cluster.entry(), &completion(KEY, &streamed("a0", "cut", LONG), &[]));
+    let mut sock = send(
+        cluster.entry(),
+        &completion(KEY, &streamed("a0", "cut", LONG_ANSWER_TOKENS), &[]),
+    );
     sock.read_until("a0@v1|cut|").unwrap();
     cluster.agents[0].kill();
     let answer = sock.read();
@@ -117,7 +125,7 @@
 }
 
 #[test]
-fn stalled_callers_leave_the_others_alone() {
+fn stalled_callers_do_not_block_other_callers() {
     let settings = "  max_streams_per_caller: 2000\n";
     let agent_settings = "  max_running: 1000\n";
     let cluster = Cluster::start(Plan {
@@ -128,7 +136,7 @@
     });
     let mut stalled: Vec<_> = (0..300)
         .map(|n| {
-            let body = streamed("a0", &format!("stalled{n}"), LONG);
+            let body = streamed("a0", &format!("stalled{n}"), LONG_ANSWER_TOKENS);
             send(cluster.entry(), &completion(KEY, &body, &[]))
         })
         .collect();
@@ -203,7 +211,7 @@
 }
 
 #[test]
-fn deadline_ends_a_request_with_its_true_outcome() {
+fn deadline_ends_a_request_with_the_right_outcome() {
     struct Case {
         name: &'static str,
         fault: serde_json::Value,
@@ -235,7 +243,7 @@
         let model = if case.runs == 1 { "a0" } else { "a5" };
         let headers =
             [("larkspring-deadline-ms", "1000"), ("larkspring-repeatable", "no")];
-        let tokens = if case.runs == 1 { LONG } else { 2 };
+        let tokens = if case.runs == 1 { LONG_ANSWER_TOKENS } else { 2 };
         let body = streamed(model, case.name, tokens);
         let answer = complete(cluster.entry(), KEY, &body, &headers);
         assert_eq!(answer.status, case.status, "{}: {answer:?}", case.name);
@@ -248,9 +256,9 @@
 }
 
 #[test]
-fn planned_stop_cuts_off_nothing_and_takes_nothing_new() {
+fn graceful_shutdown_completes_answers_and_refuses_new_requests() {
     let mut cluster = Cluster::start(Plan { engines: 2, entries: 2, ..Plan::default() });
-    let asks: Vec<_> = (0..6)
+    let conns: Vec<_> = (0..6)
         .map(|n| {
             let body = streamed(&format!("a{n}"), "slowly", 800);
             let mut sock = send(cluster.entry(), &completion(KEY, &body, &[]));
@@ -264,7 +272,7 @@
         let refused = complete(cluster.entry(), KEY, &streamed("a0", "late", 2), &[]);
         refused.status == 503 && refused.outcome() == "not-run"
     });
-    let readers: Vec<_> = asks
+    let readers: Vec<_> = conns
         .into_iter()
         .map(|(n, sock)| (n, thread::spawn(move || sock.read())))
         .collect();
@@ -287,13 +295,13 @@
 }
 
 #[test]
-fn refusal_after_an_unclear_attempt_never_says_not_run() {
+fn refusal_after_an_unknown_attempt_is_never_not_run() {
     let mut cluster = Cluster::start(Plan { engines: 2, slots: 16, ..Plan::default() });
     cluster.engine_faults(0, json!({ "hang": true }));
     cluster.engine_faults(1, json!({ "fail_loads": 1000 }));
-    let asks: Vec<_> = (2..10)
+    let conns: Vec<_> = (2..10)
         .map(|n| {
-            let body = streamed(&format!("a{n}"), "unclear", LONG);
+            let body = streamed(&format!("a{n}"), "unclear", LONG_ANSWER_TOKENS);
             send(cluster.entry(), &completion(KEY, &body, &[]))
         })
         .collect();
@@ -301,8 +309,8 @@
     // them.
     until("all hang", || cluster.runs_of("unclear") == 8);
     cluster.agents[0].kill();
-    for ask in asks {
-        let answer = ask.read();
+    for conn in conns {
+        let answer = conn.read();
         assert_ne!(answer.status, 200, "{answer:?}");
         assert_ne!(answer.outcome(), "not-run", "{answer:?}");
     }
--- a/crates/larkspring-cli/tests/once.rs
+++ b/crates/larkspring-cli/tests/once.rs
@@ -10,7 +10,7 @@
 use serde_json::json;
 use uuid::Uuid;
 
-const LONG: u64 = 1_000_000;
+const LONG_ANSWER_TOKENS: u64 = 1_000_000;
 
 fn cluster(entries: usize) -> Cluster {
     let cluster = Cluster::start(Plan { entries, ..Plan::default() });
@@ -19,27 +19,27 @@
 }
 
 /// Sends a request that runs at most once, with the idempotency key `key`.
-fn ask(entry: &str, key: &str, prompt: &str, tokens: u64) -> Answer {
+fn send_once(entry: &str, key: &str, prompt: &str, tokens: u64) -> Answer {
     let body = streamed("once", prompt, tokens);
     complete(entry, KEY, &body, &[("idempotency-key", key)])
 }
 
-fn fresh_key() -> String {
+fn new_key() -> String {
     Uuid::now_v7().to_string()
 }
 
 #[test]
-fn same_key_through_several_entries_at_once_runs_once() {
+fn same_key_at_several_entries_runs_once() {
     let cluster = cluster(3);
-    for (n, key) in [fresh_key(), "plain-key".into()].into_iter().enumerate() {
+    for (n, key) in [new_key(), "plain-key".into()].into_iter().enumerate() {
         let prompt = format!("race{n}");
-        let asks = (0..12).map(|n| {
+        let threads = (0..12).map(|n| {
             let entry = cluster.entries[n % 3].addr.clone();
             let (key, prompt) = (key.clone(), prompt.clone());
-            thread::spawn(move || ask(&entry, &key, &prompt, 30))
+            thread::spawn(move || send_once(&entry, &key, &prompt, 30))
         });
-        let asks: Vec<_> = asks.collect();
-        let answers: Vec<_> = asks.into_iter().map(|a| a.join().unwrap()).collect();
+        let threads: Vec<_> = threads.collect();
+        let answers: Vec<_> = threads.into_iter().map(|a| a.join().unwrap()).collect();
         assert_eq!(cluster.runs_of(&prompt), 1, "{answers:?}");
         let whole = answers.iter().filter(|a| a.status == 200);
         for answer in whole.clone() {
@@ -54,13 +54,13 @@
 }
 
 #[test]
-fn resend_after_the_end_gets_the_same_answer() {
+fn retry_after_completion_gets_the_same_answer() {
     let cluster = cluster(2);
-    for key in [fresh_key(), "plain".into()] {
-        let first = ask(&cluster.entries[0].addr, &key, &key, 5);
+    for key in [new_key(), "plain".into()] {
+        let first = send_once(&cluster.entries[0].addr, &key, &key, 5);
         assert_eq!(first.text(), expected("once@v1", &key, 5));
         until("the claim is settled", || {
-            let resend = ask(&cluster.entries[1].addr, &key, &key, 5);
+            let resend = send_once(&cluster.entries[1].addr, &key, &key, 5);
             resend.status == 200
                 && resend.body == first.body
                 && resend.header("larkspring-replayed") == Some("yes")
@@ -72,36 +72,36 @@
 #[test]
 fn key_used_for_another_request_is_refused() {
     let cluster = cluster(1);
-    let key = fresh_key();
-    assert_eq!(ask(cluster.entry(), &key, "one", 2).status, 200);
-    let other = ask(cluster.entry(), &key, "two", 2);
+    let key = new_key();
+    assert_eq!(send_once(cluster.entry(), &key, "one", 2).status, 200);
+    let other = send_once(cluster.entry(), &key, "two", 2);
     assert_eq!((other.status, &*other.outcome()), (409, "failed"), "{other:?}");
     assert_eq!(cluster.runs_of("two"), 0);
 }
 
 #[test]
-fn caller_that_hung_up_finds_its_answer() {
+fn answer_is_kept_after_the_caller_disconnects() {
     let cluster = cluster(2);
-    let key = fresh_key();
+    let key = new_key();
     let body = streamed("once", "hung-up", 300);
     let headers = [("idempotency-key", key.as_str())];
     let mut conn = send(cluster.entry(), &completion(KEY, &body, &headers));
     conn.read_until("|hung-up|").unwrap();
     drop(conn);
     until("the answer is found", || {
-        let resend = ask(&cluster.entries[1].addr, &key, "hung-up", 300);
+        let resend = send_once(&cluster.entries[1].addr, &key, "hung-up", 300);
         resend.status == 200 && resend.text() == expected("once@v1", "hung-up", 300)
     });
     assert_eq!(cluster.runs_of("hung-up"), 1);
 }
 
 #[test]
-fn unclear_end_stays_unclear() {
+fn unknown_outcome_stays_unknown() {
     let mut cluster = cluster(2);
     cluster.engine_faults(0, json!({ "hang": true }));
-    let key = fresh_key();
+    let key = new_key();
     let headers = [("idempotency-key", key.as_str()), ("larkspring-deadline-ms", "1000")];
-    let body = streamed("once", "unclear", LONG);
+    let body = streamed("once", "unclear", LONG_ANSWER_TOKENS);
     let first = complete(cluster.entry(), KEY, &body, &headers);
     assert_eq!(first.outcome(), "unknown", "{first:?}");
     cluster.engine_faults(0, json!({}));
@@ -111,9 +111,9 @@
     }
     assert_eq!(cluster.runs_of("unclear"), 1);
     // The same with an agent that is killed during the request.
-    let key = fresh_key();
+    let key = new_key();
     let headers = [("idempotency-key", key.as_str())];
-    let body = streamed("once", "agent-died", LONG);
+    let body = streamed("once", "agent-died", LONG_ANSWER_TOKENS);
     let mut conn = send(cluster.entry(), &completion(KEY, &body, &headers));
     conn.read_until("|agent-died|").unwrap();
     cluster.agents[0].kill();
@@ -122,42 +122,43 @@
     until("the agent serves again", || {
         complete(cluster.entry(), KEY, &streamed("a0", "back", 1), &[]).status == 200
     });
-    let resend = ask(&cluster.entries[1].addr, &key, "agent-died", LONG);
+    let resend =
+        send_once(&cluster.entries[1].addr, &key, "agent-died", LONG_ANSWER_TOKENS);
     assert_eq!((resend.status, &*resend.outcome()), (409, "unknown"));
     assert_eq!(cluster.runs_of("agent-died"), 1);
 }
 
 #[test]
-fn proved_refusal_leaves_the_key_free() {
+fn refusal_as_not_run_leaves_the_key_unused() {
     let mut cluster = cluster(2);
-    let key = fresh_key();
+    let key = new_key();
     cluster.agents[0].kill();
-    let refused = ask(cluster.entry(), &key, "later", 2);
+    let refused = send_once(cluster.entry(), &key, "later", 2);
     assert_eq!((refused.status, &*refused.outcome()), (503, "not-run"), "{refused:?}");
     cluster.restart_agent(0);
     until("the request runs", || {
-        let resend = ask(&cluster.entries[1].addr, &key, "later", 2);
+        let resend = send_once(&cluster.entries[1].addr, &key, "later", 2);
         resend.text() == expected("once@v1", "later", 2)
     });
     assert_eq!(cluster.runs_of("later"), 1);
 }
 
 #[test]
-fn object_api_outage_stops_no_claim() {
+fn claims_succeed_during_an_object_api_outage() {
     let cluster = cluster(2);
     post(&cluster.objects.addr, "/faults", &json!({ "outage": true }));
     for n in 0..40 {
-        let (key, prompt) = (fresh_key(), format!("outage{n}"));
-        let first = ask(&cluster.entries[n % 2].addr, &key, &prompt, 2);
+        let (key, prompt) = (new_key(), format!("outage{n}"));
+        let first = send_once(&cluster.entries[n % 2].addr, &key, &prompt, 2);
         assert_eq!(first.text(), expected("once@v1", &prompt, 2), "{first:?}");
-        let resend = ask(&cluster.entries[(n + 1) % 2].addr, &key, &prompt, 2);
+        let resend = send_once(&cluster.entries[(n + 1) % 2].addr, &key, &prompt, 2);
         assert!(matches!(resend.status, 200 | 409), "{resend:?}");
         assert_eq!(cluster.runs_of(&prompt), 1);
     }
 }
 
 #[test]
-fn object_api_outage_right_after_an_entry_joined_stops_no_claim() {
+fn claims_succeed_in_an_outage_right_after_an_entry_joined() {
     // The first entry reads the key table only every 4 to 6 s: too late to find the
     // second entry's partitions there before the outage.
     let entry_settings = "  max_key_partitions: 56\n";
@@ -170,18 +171,18 @@
     cluster.wait_keys();
     post(&cluster.objects.addr, "/faults", &json!({ "outage": true }));
     for n in 0..40 {
-        let (key, prompt) = (fresh_key(), format!("joined{n}"));
-        let answer = ask(&cluster.entries[0].addr, &key, &prompt, 2);
+        let (key, prompt) = (new_key(), format!("joined{n}"));
+        let answer = send_once(&cluster.entries[0].addr, &key, &prompt, 2);
         assert_eq!(answer.text(), expected("once@v1", &prompt, 2), "{answer:?}");
     }
 }
 
 #[test]
-fn keys_of_an_entry_that_died_never_run_again_and_new_ones_do() {
+fn keys_of_a_killed_entry_never_run_again_and_new_keys_do() {
     let mut cluster = cluster(2);
-    let keys: Vec<_> = (0..20).map(|n| (fresh_key(), format!("died{n}"))).collect();
+    let keys: Vec<_> = (0..20).map(|n| (new_key(), format!("died{n}"))).collect();
     for (key, prompt) in &keys {
-        assert_eq!(ask(cluster.entry(), key, prompt, 2).status, 200);
+        assert_eq!(send_once(cluster.entry(), key, prompt, 2).status, 200);
     }
     // A new run at the same address proves that the old run has ended.
     cluster.restart_entry(0);
@@ -191,52 +192,52 @@
     cluster.wait_keys();
     for entry in &cluster.entries {
         for (key, prompt) in &keys {
-            let resend = ask(&entry.addr, key, prompt, 2);
+            let resend = send_once(&entry.addr, key, prompt, 2);
             assert!(matches!(resend.status, 200 | 409), "{resend:?}");
             assert_eq!(cluster.runs_of(prompt), 1);
         }
     }
     until("new keys run", || {
-        let answers = (0..20).map(|_| ask(cluster.entry(), &fresh_key(), "new", 1));
+        let answers = (0..20).map(|_| send_once(cluster.entry(), &new_key(), "new", 1));
         answers.into_iter().all(|a| a.status == 200)
     });
 }
 
 #[test]
-fn entry_that_was_paused_past_its_lease_grants_nothing_twice() {
+fn entry_paused_past_its_lease_grants_no_key_twice() {
     let settings = "  key_lease_ms: 1000\n  clock_skew_ms: 100\n";
     let cluster =
         Cluster::start(Plan { entries: 2, entry_settings: settings, ..Plan::default() });
     cluster.wait_keys();
-    let keys: Vec<_> = (0..40).map(|n| (fresh_key(), format!("paused{n}"))).collect();
+    let keys: Vec<_> = (0..40).map(|n| (new_key(), format!("paused{n}"))).collect();
     cluster.entries[0].freeze();
     until("the other entry holds all partitions", || {
         cluster.entries[1].key_partitions() == 64
     });
-    let of_two: Vec<_> = (0..40).map(|n| (fresh_key(), format!("after{n}"))).collect();
-    for (key, prompt) in keys.iter().chain(&of_two) {
-        ask(&cluster.entries[1].addr, key, prompt, 2);
+    let later_keys: Vec<_> = (0..40).map(|n| (new_key(), format!("after{n}"))).collect();
+    for (key, prompt) in keys.iter().chain(&later_keys) {
+        send_once(&cluster.entries[1].addr, key, prompt, 2);
     }
     // The resumed entry may still assume that its lease is valid.
     cluster.entries[0].resume();
-    for (key, prompt) in keys.iter().chain(&of_two) {
-        ask(&cluster.entries[0].addr, key, prompt, 2);
+    for (key, prompt) in keys.iter().chain(&later_keys) {
+        send_once(&cluster.entries[0].addr, key, prompt, 2);
         assert!(cluster.runs_of(prompt) <= 1, "{prompt}");
     }
     until("new keys run again", || {
-        ask(&cluster.entries[0].addr, &fresh_key(), "again", 1).status == 200
+        send_once(&cluster.entries[0].addr, &new_key(), "again", 1).status == 200
     });
 }
 
 #[test]
-fn lost_replies_of_the_object_api_do_no_harm() {
+fn lost_object_api_replies_run_no_request_twice() {
     let cluster = Cluster::start(Plan { entries: 2, ..Plan::default() });
     post(&cluster.objects.addr, "/faults", &json!({ "lose_replies": 6 }));
     cluster.wait_keys();
     for n in 0..20 {
-        let (key, prompt) = (fresh_key(), format!("lost{n}"));
+        let (key, prompt) = (new_key(), format!("lost{n}"));
         for entry in &cluster.entries {
-            ask(&entry.addr, &key, &prompt, 1);
+            send_once(&entry.addr, &key, &prompt, 1);
         }
         assert_eq!(cluster.runs_of(&prompt), 1);
     }
@@ -257,13 +258,13 @@
         let runs = runs.as_array().unwrap().clone();
         runs.iter().filter(|r| r["call"] == "POST /config/7").count()
     };
-    let key = fresh_key();
+    let key = new_key();
     assert_eq!(call(cluster.entry(), &key).status, 200);
     until("the answer is kept", || call(&cluster.entries[1].addr, &key).status == 200);
     assert_eq!(runs(), 1);
     // A call that runs and is never answered is not retried.
     post(&cluster.service.addr, "/faults", &json!({ "hang": 1 }));
-    let key = fresh_key();
+    let key = new_key();
     let bearer = format!("Bearer {KEY}");
     let headers = [
         ("authorization", bearer.as_str()),
@@ -280,13 +281,13 @@
 }
 
 #[test]
-fn planned_stop_hands_the_keys_over() {
+fn graceful_shutdown_hands_the_keys_over() {
     let mut cluster = cluster(2);
     let keys: Vec<_> =
         (0..20).map(|n| (format!("plain{n}"), format!("kept{n}"))).collect();
     let mut bodies = Vec::new();
     for (key, prompt) in &keys {
-        let first = ask(cluster.entry(), key, prompt, 2);
+        let first = send_once(cluster.entry(), key, prompt, 2);
         assert_eq!(first.text(), expected("once@v1", prompt, 2), "{first:?}");
         bodies.push(first.body);
     }
@@ -298,27 +299,27 @@
     until("the other entry holds all partitions", || {
         cluster.entries[1].key_partitions() == 64
     });
-    let left = cluster.entries[1].addr.clone();
+    let remaining = cluster.entries[1].addr.clone();
     for ((key, prompt), body) in keys.iter().zip(&bodies) {
-        let resend = ask(&left, key, prompt, 2);
+        let resend = send_once(&remaining, key, prompt, 2);
         assert_eq!((resend.status, &resend.body), (200, body), "{key}: {resend:?}");
         assert_eq!(cluster.runs_of(prompt), 1);
     }
     for n in 0..20 {
-        let new = ask(&left, &format!("new{n}"), "new", 1);
+        let new = send_once(&remaining, &format!("new{n}"), "new", 1);
         assert_eq!(new.status, 200, "{new:?}");
     }
     assert!(running.read().done());
     cluster.entries[0].wait_end();
     until("the answer of the running one is found", || {
-        let resend = ask(&left, "running", "long", 1500);
+        let resend = send_once(&remaining, "running", "long", 1500);
         resend.header("larkspring-replayed") == Some("yes") || resend.status == 409
     });
     assert_eq!(cluster.runs_of("long"), 1);
 }
 
 #[test]
-fn entry_takes_no_more_partitions_than_it_may() {
+fn entry_respects_its_partition_limit() {
     let settings = "  max_key_partitions: 30\n";
     let mut cluster =
         Cluster::start(Plan { entry_settings: settings, ..Plan::default() });
--- a/crates/larkspring-cli/tests/path.rs
+++ b/crates/larkspring-cli/tests/path.rs
@@ -11,7 +11,7 @@
 use serde_json::{json, Value};
 
 #[test]
-fn named_adapter_answers_whole_and_streamed() {
+fn named_adapters_answer_at_once_and_as_stream() {
     struct Case {
         model: &'static str,
         target: &'static str,
@@ -54,21 +54,21 @@
         step: &'static str,
     }
     let case = |key, body, header, status, step| Case { key, body, header, status, step };
-    let ask = |model: &str| json!({ "model": model, "prompt": "never" });
+    let body_for = |model: &str| json!({ "model": model, "prompt": "never" });
     let none = ("x-none", "");
     let cases = [
-        case(KEY, ask("nobody"), none, 404, "resolve"),
-        case(KEY, ask("a1@v9"), none, 404, "resolve"),
-        case(KEY, ask("a1@"), none, 404, "resolve"),
-        case(OTHER_KEY, ask("secret"), none, 403, "admit"),
-        case("wrong", ask("a1"), none, 401, "authenticate"),
-        case("", ask("a1"), none, 401, "authenticate"),
+        case(KEY, body_for("nobody"), none, 404, "resolve"),
+        case(KEY, body_for("a1@v9"), none, 404, "resolve"),
+        case(KEY, body_for("a1@"), none, 404, "resolve"),
+        case(OTHER_KEY, body_for("secret"), none, 403, "admit"),
+        case("wrong", body_for("a1"), none, 401, "authenticate"),
+        case("", body_for("a1"), none, 401, "authenticate"),
         case(KEY, json!({ "prompt": "never" }), none, 400, "read"),
         case(KEY, json!("never"), none, 400, "read"),
-        case(KEY, ask("a1"), ("larkspring-deadline-ms", "soon"), 400, "read"),
-        case(KEY, ask("a1"), ("larkspring-priority", "10"), 400, "read"),
-        case(KEY, ask("a1"), ("larkspring-repeatable", "perhaps"), 400, "read"),
-        case(KEY, ask("a1"), ("idempotency-key", ""), 400, "read"),
+        case(KEY, body_for("a1"), ("larkspring-deadline-ms", "soon"), 400, "read"),
+        case(KEY, body_for("a1"), ("larkspring-priority", "10"), 400, "read"),
+        case(KEY, body_for("a1"), ("larkspring-repeatable", "perhaps"), 400, "read"),
+        case(KEY, body_for("a1"), ("idempotency-key", ""), 400, "read"),
     ];
     let cluster = Cluster::start(Plan::default());
     for case in cases {
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn unreadable_requests_get_an_answer_and_never_run() {
+fn malformed_requests_are_refused_and_never_run() {
     struct Case {
         name: &'static str,
         request: String,
@@ -180,9 +180,9 @@
 }
 
 #[test]
-fn interleaved_answers_never_mix() {
+fn concurrent_answers_are_not_mixed_up() {
     let cluster = Cluster::start(Plan { engines: 2, entries: 2, ..Plan::default() });
-    let asks = (0..48).map(|n| {
+    let threads = (0..48).map(|n| {
         let entry = cluster.entries[n % 2].addr.clone();
         let key = if n % 3 == 0 { OTHER_KEY } else { KEY };
         thread::spawn(move || {
@@ -192,8 +192,8 @@
             (complete(&entry, key, &body, &[]), expected(&model, &prompt, 40))
         })
     });
-    for ask in asks.collect::<Vec<_>>() {
-        let (answer, expected) = ask.join().unwrap();
+    for thread in threads.collect::<Vec<_>>() {
+        let (answer, expected) = thread.join().unwrap();
         assert_eq!(answer.text(), expected, "{answer:?}");
         assert!(answer.whole && answer.done());
     }
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn one_trace_shows_every_hop() {
+fn trace_id_reaches_entry_and_agent_logs() {
     let cluster = Cluster::start(Plan::default());
     let trace = "0123456789abcdef0123456789abcdef";
     let parent = format!("00-{trace}-0123456789abcdef-01");
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn models_lists_what_the_caller_may_reach() {
+fn models_lists_only_permitted_targets() {
     let cluster = Cluster::start(Plan::default());
     let list = |key: &str| {
         let bearer = format!("Bearer {key}");
@@ -254,7 +254,7 @@
 }
 
 #[test]
-fn strange_bytes_in_a_request_harm_nobody() {
+fn unusual_bytes_in_requests_get_an_answer() {
     let cluster = Cluster::start(Plan::default());
     let body = streamed("a1", "strange", 2).to_string();
     let strange = ["é", "\u{1}", "\u{7f}", "a\tb", "\"", "💧", "%00", "\u{ad}"];
--- a/crates/larkspring-cli/tests/plan.rs
+++ b/crates/larkspring-cli/tests/plan.rs
@@ -13,12 +13,12 @@
 const OPERATOR_KEY: &str = "key-of-operators";
 
 /// A deployment with two entries that serve operators.
-struct Operated {
+struct OperatedCluster {
     cluster: Cluster,
     operators: Vec<String>,
 }
 
-impl Operated {
+impl OperatedCluster {
     fn start() -> Self {
         let operators: Vec<_> = (0..2).map(|_| common::own_addr()).collect();
         let settings = format!("  operator_key_sha256: {}\n", key_hash(OPERATOR_KEY));
@@ -44,7 +44,7 @@
 
     /// Requests a plan for declarations.
     fn plan(&self, entry: usize, text: &str) -> Value {
-        let name = format!("plan-{:x}", xxh(text));
+        let name = format!("plan-{:x}", text_hash(text));
         let dir = self.cluster.dir.path().join(name);
         std::fs::create_dir_all(&dir).unwrap();
         std::fs::write(dir.join("all.yaml"), text).unwrap();
@@ -66,100 +66,105 @@
     }
 }
 
-fn xxh(text: &str) -> u64 {
+fn text_hash(text: &str) -> u64 {
     larkspring_core::ids::Target::new(text, "").hash()
 }
 
 #[test]
-fn plan_says_what_it_changes_and_changes_nothing() {
-    let it = Operated::start();
-    let text = it
+fn plan_reports_changes_without_applying_them() {
+    let operated = OperatedCluster::start();
+    let text = operated
         .renamed("b19")
         .replace("base: base\n  checks_fences", "base: other\n  checks_fences");
-    let plan = it.plan(0, &text);
+    let plan = operated.plan(0, &text);
     assert_eq!(plan["from"], 1);
     assert_eq!(plan["changes"]["adapters"]["added"], json!(["b19"]));
     assert_eq!(plan["changes"]["adapters"]["removed"], json!(["a19"]));
     assert_eq!(plan["changes"]["endpoints"]["changed"], json!(["engine-0"]));
     assert_eq!(plan["suspicious"], json!(["no endpoint serves base model base"]));
-    assert_eq!(it.revision(), 1);
-    let small = it.plan(0, "callers: []\n");
+    assert_eq!(operated.revision(), 1);
+    let small = operated.plan(0, "callers: []\n");
     let suspicious = small["suspicious"].to_string();
     assert!(suspicious.contains("22 of 22 adapters would go"), "{suspicious}");
     assert!(small["costs"].to_string().contains("caller agency loses rights"));
 }
 
 #[test]
-fn plan_is_confirmed_at_any_entry_and_twice_is_as_once() {
-    let it = Operated::start();
-    let plan = it.plan(0, &it.renamed("b19"));
+fn plan_confirmation_is_idempotent_at_any_entry() {
+    let operated = OperatedCluster::start();
+    let plan = operated.plan(0, &operated.renamed("b19"));
     for entry in [1, 0, 1] {
-        let out = it.confirm(entry, &plan);
+        let out = operated.confirm(entry, &plan);
         assert_eq!(
             String::from_utf8_lossy(&out.stdout),
             "revision 2 accepted\n",
             "{out:?}"
         );
     }
-    until("it is in force", || it.revision() == 2);
+    until("it is in force", || operated.revision() == 2);
 }
 
 #[test]
-fn racing_intents_end_with_one_accepted() {
-    let it = Operated::start();
-    let plans: Vec<_> =
-        (0..4).map(|n| it.plan(n % 2, &it.renamed(&format!("b{n}")))).collect();
-    let it = &it;
-    let ended: Vec<_> = thread::scope(|scope| {
+fn only_one_of_concurrent_confirmations_is_accepted() {
+    let operated = OperatedCluster::start();
+    let plans: Vec<_> = (0..4)
+        .map(|n| operated.plan(n % 2, &operated.renamed(&format!("b{n}"))))
+        .collect();
+    let operated = &operated;
+    let outputs: Vec<_> = thread::scope(|scope| {
         let confirms: Vec<_> = plans
             .iter()
             .enumerate()
-            .map(|(n, plan)| scope.spawn(move || it.confirm(n % 2, plan)))
+            .map(|(n, plan)| scope.spawn(move || operated.confirm(n % 2, plan)))
             .collect();
         confirms.into_iter().map(|c| c.join().unwrap()).collect()
     });
-    assert_eq!(ended.iter().filter(|out| out.status.success()).count(), 1, "{ended:?}");
-    for out in ended.iter().filter(|out| !out.status.success()) {
+    assert_eq!(
+        outputs.iter().filter(|out| out.status.success()).count(),
+        1,
+        "{outputs:?}"
+    );
+    for out in outputs.iter().filter(|out| !out.status.success()) {
         let text = String::from_utf8_lossy(&out.stderr);
         assert!(text.contains("another change made revision 2 first"), "{text}");
     }
 }
 
 #[test]
-fn confirmation_with_a_lost_reply_is_found_out() {
-    let it = Operated::start();
-    let plan = it.plan(0, &it.renamed("b19"));
-    post(&it.cluster.objects.addr, "/faults", &json!({ "lose_replies": 1 }));
-    let out = it.confirm(0, &plan);
+fn confirmation_with_a_lost_reply_succeeds() {
+    let operated = OperatedCluster::start();
+    let plan = operated.plan(0, &operated.renamed("b19"));
+    post(&operated.cluster.objects.addr, "/faults", &json!({ "lose_replies": 1 }));
+    let out = operated.confirm(0, &plan);
     assert_eq!(String::from_utf8_lossy(&out.stdout), "revision 2 accepted\n", "{out:?}");
 }
 
 #[test]
-fn outage_refuses_an_intent_as_not_accepted() {
-    let it = Operated::start();
-    let plan = it.plan(0, &it.renamed("b19"));
-    post(&it.cluster.objects.addr, "/faults", &json!({ "outage": true }));
-    let out = it.confirm(0, &plan);
+fn confirmation_during_an_outage_is_not_accepted() {
+    let operated = OperatedCluster::start();
+    let plan = operated.plan(0, &operated.renamed("b19"));
+    post(&operated.cluster.objects.addr, "/faults", &json!({ "outage": true }));
+    let out = operated.confirm(0, &plan);
     assert!(!out.status.success());
     let text = String::from_utf8_lossy(&out.stderr).into_owned();
     assert!(text.contains("not accepted"), "{text}");
-    post(&it.cluster.objects.addr, "/faults", &json!({}));
-    assert!(it.confirm(1, &plan).status.success());
+    post(&operated.cluster.objects.addr, "/faults", &json!({}));
+    assert!(operated.confirm(1, &plan).status.success());
 }
 
 #[test]
 fn operators_need_their_own_key() {
-    let it = Operated::start();
+    let operated = OperatedCluster::start();
     for key in ["", common::KEY, "key-of-operator"] {
         let bearer = format!("Bearer {key}");
         let headers = [("authorization", bearer.as_str())];
         let answer =
-            send(&it.operators[0], &request("GET", "/status", &headers, "")).read();
+            send(&operated.operators[0], &request("GET", "/status", &headers, "")).read();
         assert_eq!(answer.status, 401, "{key}");
     }
     // The operators' key is not valid for callers.
     let answer = common::client::complete(
-        it.cluster.entry(),
+        operated.cluster.entry(),
         OPERATOR_KEY,
         &common::client::streamed("a0", "x", 1),
         &[],
