--- a/crates/larkspring-cli/src/deployment.rs
+++ b/crates/larkspring-cli/src/deployment.rs
@@ -63,11 +63,12 @@
 impl Deployment {
     /// Starts a deployment, which runs in the background, and publishes its declarations.
     pub async fn start(spec: &DeploymentSpec) -> Result<Self, AnyError> {
-        let any = SocketAddr::from((LOOPBACK, 0));
-        let objects = start_standin(any, Arc::new(Objects::default())).await?;
+        let any_port = SocketAddr::from((LOOPBACK, 0));
+        let objects = start_standin(any_port, Arc::new(Objects::default())).await?;
         let weights =
-            start_standin(any, Arc::new(Weights::new(spec.weights.clone()))).await?;
-        let service = start_standin(any, Arc::new(ServiceStandin::default())).await?;
+            start_standin(any_port, Arc::new(Weights::new(spec.weights.clone()))).await?;
+        let service =
+            start_standin(any_port, Arc::new(ServiceStandin::default())).await?;
         let log = start_log("local", tracing::Level::WARN, spec.spans, LogTo::Stderr);
         let mut deployment =
             Self { entries: vec![], agents: vec![], standins: vec![], _log: log };
@@ -75,7 +76,7 @@
         for n in 0..spec.engines {
             let store = Some(weights.addr.to_string());
             let engine =
-                start_standin(any, Engine::new(store, spec.engine.clone())).await?;
+                start_standin(any_port, Engine::new(store, spec.engine.clone())).await?;
             let name = format!("engine-{n}");
             let agent = start_agent(spec, &name, &engine, &objects).await?;
             let base = BASE.to_owned();
@@ -84,8 +85,9 @@
             deployment.standins.push(("engine", engine));
         }
         let agent = start_agent(spec, "service-0", &service, &objects).await?;
-        let of_service = SERVICE.to_owned();
-        endpoints.push(Endpoint { service: of_service, ..endpoint("service-0", &agent) });
+        let service_name = SERVICE.to_owned();
+        endpoints
+            .push(Endpoint { service: service_name, ..endpoint("service-0", &agent) });
         deployment.agents.push(agent);
         let api = HttpObjects::new(&objects.addr.to_string(), API_TIMEOUT);
         let present = publish::present(&api).await?;
--- a/crates/larkspring-cli/src/dev.rs
+++ b/crates/larkspring-cli/src/dev.rs
@@ -24,14 +24,14 @@
     };
     exec::run(exec::DEPLOYMENT_THREADS, async {
         let deployment = Deployment::start(&spec).await?;
-        print(&deployment);
+        print_addresses(&deployment);
         wait_for_stop().await;
         deployment.stop().await;
         Ok(())
     })
 }
 
-fn print(deployment: &Deployment) {
+fn print_addresses(deployment: &Deployment) {
     for (name, served) in &deployment.standins {
         println!("stand-in {name}: http://{}", served.addr);
     }
--- a/crates/larkspring-cli/src/experiment.rs
+++ b/crates/larkspring-cli/src/experiment.rs
@@ -16,7 +16,7 @@
 use crate::args::{ExperimentArgs, Profile, Scenario};
 use crate::deployment::{Deployment, DeploymentSpec, DEV_KEY};
 use crate::load::arrivals::{fewest_loads, Arrival, Workload};
-use crate::load::client::Target;
+use crate::load::client::Destination;
 use crate::load::report::Report;
 use crate::load::send_load;
 use crate::AnyError;
@@ -118,8 +118,8 @@
     let start = (args.seconds * WARM_UP_RATIO * 1e6) as u64;
     if args.scenario == Scenario::Hot {
         let half = start + (args.seconds * 0.5e6) as u64;
-        let late = all.iter_mut().filter(|a| a.at_us >= half);
-        late.step_by(2).for_each(|a| a.adapter = HOT_ADAPTER);
+        let second_half = all.iter_mut().filter(|a| a.at_us >= half);
+        second_half.step_by(2).for_each(|a| a.adapter = HOT_ADAPTER);
     }
     if args.scenario == Scenario::ColdStart {
         all.retain(|a| a.at_us >= start);
@@ -144,23 +144,23 @@
 ) -> Result<PolicyResult, AnyError> {
     let deployment = Deployment::start(&deployment_spec(args, sizes, policy)).await?;
     Timer::after(READY_DELAY).await;
-    let targets: Vec<_> = deployment
+    let destinations: Vec<_> = deployment
         .entries
         .iter()
-        .map(|entry| Target {
+        .map(|entry| Destination {
             addr: entry.addr.to_string(),
             key: DEV_KEY.into(),
             keyed: false,
         })
         .collect();
-    send_load(warm_up, &targets, "tenant").await;
+    send_load(warm_up, &destinations, "tenant").await;
     let before = engine_totals(&deployment).await?;
     let restarts = exec::spawn(restart_engines(
         args.scenario,
         engine_addrs(&deployment),
         args.seconds,
     ));
-    let report = send_load(arrivals, &targets, "tenant").await;
+    let report = send_load(arrivals, &destinations, "tenant").await;
     drop(restarts);
     let after = engine_totals(&deployment).await?;
     deployment.stop().await;
@@ -178,8 +178,8 @@
     sizes: &ProfileSizes,
     policy: &str,
 ) -> DeploymentSpec {
-    let slow = if args.scenario == Scenario::SlowStore { 3.0 } else { 1.0 };
-    let load_rate = sizes.load_rate / slow;
+    let slowdown = if args.scenario == Scenario::SlowStore { 3.0 } else { 1.0 };
+    let load_rate = sizes.load_rate / slowdown;
     let concurrency = sizes.load_concurrency;
     let fail_one_in = if args.scenario == Scenario::FailingLoads { 4 } else { 0 };
     DeploymentSpec {
--- a/crates/larkspring-cli/src/explain.rs
+++ b/crates/larkspring-cli/src/explain.rs
@@ -28,7 +28,7 @@
         return Err(format!("{}: {text}", args.id).into());
     }
     for line in shown {
-        println!("{}", line.text());
+        println!("{}", line.to_text());
     }
     Ok(())
 }
@@ -114,7 +114,7 @@
         self.fields.get(name).and_then(Value::as_u64)
     }
 
-    fn text(&self) -> String {
+    fn to_text(&self) -> String {
         let mut text = format!("{}  {}  {}", self.time, self.vm, self.field("event"));
         for (name, value) in &self.fields {
             if !OMITTED_FIELDS.contains(&name.as_str()) {
--- a/crates/larkspring-cli/src/load/client.rs
+++ b/crates/larkspring-cli/src/load/client.rs
@@ -13,7 +13,7 @@
 
 /// A server that receives a load.
 #[derive(Debug, Clone)]
-pub struct Target {
+pub struct Destination {
     /// Address of the server.
     pub addr: String,
     /// Key of the caller; empty for none.
@@ -48,21 +48,21 @@
 const READ_SIZE: usize = 8192;
 
 /// Sends a request and reads its answer to the end.
-pub async fn send(target: &Target, arrival: &Arrival, name: &str) -> Sample {
+pub async fn send(destination: &Destination, arrival: &Arrival, name: &str) -> Sample {
     let timed_out = async {
         Timer::after(REQUEST_TIMEOUT * 2).await;
         Sample { outcome: "client time-out".into(), ..Sample::default() }
     };
-    let mut sample = try_send(target, arrival, name).or(timed_out).await;
+    let mut sample = try_send(destination, arrival, name).or(timed_out).await;
     sample.urgent = arrival.priority == 0;
     sample.tokens = arrival.tokens;
     sample
 }
 
-async fn try_send(target: &Target, arrival: &Arrival, name: &str) -> Sample {
+async fn try_send(destination: &Destination, arrival: &Arrival, name: &str) -> Sample {
     let start = Instant::now();
     let failed = |outcome: String| Sample { outcome, ..Sample::default() };
-    let mut req = match request(Method::Post, &target.addr, "/v1/completions") {
+    let mut req = match request(Method::Post, &destination.addr, "/v1/completions") {
         Ok(req) => req,
         Err(e) => return failed(e.to_string()),
     };
@@ -73,18 +73,18 @@
     req.insert_header("content-type", "application/json");
     req.insert_header("larkspring-deadline-ms", DEADLINE_MS);
     req.insert_header("larkspring-priority", arrival.priority.to_string());
-    if target.keyed {
+    if destination.keyed {
         req.insert_header("larkspring-repeatable", "no");
         req.insert_header("idempotency-key", Uuid::now_v7().to_string());
     }
-    if !target.key.is_empty() {
-        req.insert_header("authorization", format!("Bearer {}", target.key));
+    if !destination.key.is_empty() {
+        req.insert_header("authorization", format!("Bearer {}", destination.key));
     }
-    let sock = match connect(&target.addr, CONNECT_TIMEOUT).await {
+    let sock = match connect(&destination.addr, CONNECT_TIMEOUT).await {
         Ok(sock) => sock,
         Err(e) => return failed(format!("connect: {e}")),
     };
-    let mut res = match exchange(sock, &target.addr, req).await {
+    let mut res = match exchange(sock, &destination.addr, req).await {
         Ok(res) => res,
         Err(_) => return failed("no answer".into()),
     };
--- a/crates/larkspring-cli/src/load/mod.rs
+++ b/crates/larkspring-cli/src/load/mod.rs
@@ -12,7 +12,7 @@
 use smol::Timer;
 
 use self::arrivals::{Arrival, Workload};
-use self::client::Target;
+use self::client::Destination;
 use self::report::Report;
 use self::usage::Usage;
 use crate::args::LoadArgs;
@@ -35,13 +35,13 @@
         let mut reports = Vec::new();
         if let Some(engine) = &args.engine {
             let direct =
-                [Target { addr: engine.clone(), key: String::new(), keyed: false }];
+                [Destination { addr: engine.clone(), key: String::new(), keyed: false }];
             reports.push(("direct", send_load(&arrivals, &direct, &args.name).await));
         }
         let entries: Vec<_> = args
             .entry
             .iter()
-            .map(|addr| Target {
+            .map(|addr| Destination {
                 addr: addr.clone(),
                 key: args.key.clone(),
                 keyed: args.keyed,
@@ -65,18 +65,22 @@
 }
 
 /// Sends each request at its arrival time without waiting for earlier answers, in turn to
-/// the targets, and collects the results.
-pub async fn send_load(arrivals: &[Arrival], targets: &[Target], name: &str) -> Report {
+/// the destinations, and collects the results.
+pub async fn send_load(
+    arrivals: &[Arrival],
+    destinations: &[Destination],
+    name: &str,
+) -> Report {
     let start = Instant::now();
-    let targets: Arc<[Target]> = targets.into();
+    let destinations: Arc<[Destination]> = destinations.into();
     let mut tasks = Vec::new();
     for (n, arrival) in arrivals.iter().cloned().enumerate() {
         Timer::at(start + Duration::from_micros(arrival.at_us)).await;
-        let target = targets[n % targets.len()].clone();
+        let destination = destinations[n % destinations.len()].clone();
         let name = name.to_owned();
-        tasks.push(exec::spawn(
-            async move { client::send(&target, &arrival, &name).await },
-        ));
+        tasks.push(exec::spawn(async move {
+            client::send(&destination, &arrival, &name).await
+        }));
     }
     let mut report = Report::default();
     for task in tasks {
--- a/crates/larkspring-cli/src/load/usage.rs
+++ b/crates/larkspring-cli/src/load/usage.rs
@@ -46,13 +46,13 @@
         Some(Self {
             pid,
             cpu_us: (ticks(USER_TIME_FIELD)? + ticks(SYSTEM_TIME_FIELD)?) * TICK_US,
-            peak_kb: kb(&status, "VmHWM:")?,
-            resident_kb: kb(&status, "VmRSS:")?,
+            peak_kb: kb_field(&status, "VmHWM:")?,
+            resident_kb: kb_field(&status, "VmRSS:")?,
         })
     }
 }
 
-fn kb(status: &str, name: &str) -> Option<u64> {
+fn kb_field(status: &str, name: &str) -> Option<u64> {
     let line = status.lines().find(|line| line.starts_with(name))?;
     line.split_whitespace().nth(1)?.parse().ok()
 }
--- a/crates/larkspring-cli/src/operate.rs
+++ b/crates/larkspring-cli/src/operate.rs
@@ -55,9 +55,9 @@
 /// Confirms a plan, which publishes its changes.
 pub fn confirm(args: &ConfirmArgs) -> Result<(), AnyError> {
     let path = format!("/plans/{}/confirm", args.plan);
-    let done =
+    let confirmed =
         exec::run(1, call_operator_api(&args.to, Method::Post, &path, String::new()))?;
-    println!("revision {} accepted", done["revision"]);
+    println!("revision {} accepted", confirmed["revision"]);
     Ok(())
 }
 
--- a/crates/larkspring-standin/src/engine.rs
+++ b/crates/larkspring-standin/src/engine.rs
@@ -4,7 +4,7 @@
 //! takes a base time up to a number of requests (the knee), and more time for each
 //! further request.
 
-mod run;
+mod generation;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -18,8 +18,8 @@
 use serde_json::json;
 use smol::Timer;
 
-use self::run::{stream, Run};
-use crate::web::{json_response, query_param, read_json, text_response, Web};
+use self::generation::{stream, Generation};
+use crate::web::{json_response, query_param, read_json, text_response, HttpStandin};
 
 /// A model engine.
 #[derive(Debug)]
@@ -111,7 +111,7 @@
     stats: Stats,
     loaded: BTreeSet<String>,
     loading: usize,
-    runs: BTreeMap<String, Arc<Run>>,
+    generations: BTreeMap<String, Arc<Generation>>,
     epoch: u64,
     reports: VecDeque<(std::time::Instant, serde_json::Value)>,
 }
@@ -168,7 +168,7 @@
             stats,
             loaded: BTreeSet::new(),
             loading: 0,
-            runs: BTreeMap::new(),
+            generations: BTreeMap::new(),
             epoch: 0,
             reports: VecDeque::new(),
         };
@@ -189,77 +189,77 @@
         state.stats.incarnation = new_incarnation();
         state.loaded.clear();
         state.reports.clear();
-        for run in std::mem::take(&mut state.runs).into_values() {
-            run.finish(true);
+        for generation in std::mem::take(&mut state.generations).into_values() {
+            generation.finish(true);
         }
         text_response(200, "")
     }
 
     async fn complete(&self, mut req: Request, chat: bool) -> Response {
-        let order: Completion = match read_json(&mut req).await {
-            Ok(order) => order,
+        let completion: Completion = match read_json(&mut req).await {
+            Ok(completion) => completion,
             Err(res) => return res,
         };
         let header = |name: &str| req.header(name).map(|v| v.as_str().to_owned());
         let id = header("x-request-id").unwrap_or_else(|| fastrand::u64(..).to_string());
         let priority = header("x-priority").and_then(|v| v.parse().ok()).unwrap_or(5);
-        let prompt = match order.messages.last() {
+        let prompt = match completion.messages.last() {
             Some(message) => message.content.clone(),
-            None => order.prompt,
+            None => completion.prompt,
         };
-        let run = Arc::new(Run {
+        let generation = Arc::new(Generation {
             id: id.clone(),
-            adapter: order.model,
+            adapter: completion.model,
             prompt,
             chat,
-            stream: order.stream,
-            max_tokens: order.max_tokens.max(1),
+            stream: completion.stream,
+            max_tokens: completion.max_tokens.max(1),
             priority,
             output: Mutex::default(),
         });
-        let (head, hang) = match self.state.lock().admit(&run) {
+        let (head, hang) = match self.state.lock().admit(&generation) {
             Ok(entered) => entered,
             Err(refusal) => return refusal.into(),
         };
         if hang {
             std::future::pending::<()>().await;
         }
-        if order.stream {
-            return stream(head, run, 0);
+        if completion.stream {
+            return stream(head, generation, 0);
         }
-        let whole = run.clone();
-        std::future::poll_fn(move |cx| whole.poll_done(cx)).await;
-        match run.full_answer() {
+        let waiting = generation.clone();
+        std::future::poll_fn(move |cx| waiting.poll_done(cx)).await;
+        match generation.full_answer() {
             Some(body) => {
                 let mut res = head;
                 res.set_body(Body::from_string(body));
                 res.insert_header("content-type", "application/json");
                 res
             }
-            None => stream(head, run, 0),
+            None => stream(head, generation, 0),
         }
     }
 
     fn resume(&self, id: &str, req: &Request) -> Response {
         let from = query_param(req, "from").and_then(|v| v.parse().ok()).unwrap_or(0);
         let state = self.state.lock();
-        let run = match state.runs.get(id) {
-            Some(run) if state.faults.resumable => run.clone(),
+        let generation = match state.generations.get(id) {
+            Some(generation) if state.faults.resumable => generation.clone(),
             _ => return text_response(404, "no such stream"),
         };
-        run.output.lock().break_at = None;
-        stream(state.response_head(&run.adapter), run, from)
+        generation.output.lock().break_at = None;
+        stream(state.response_head(&generation.adapter), generation, from)
     }
 
     fn cancel(&self, id: &str) -> Response {
         let mut state = self.state.lock();
-        let Some(run) = state.runs.remove(id) else {
+        let Some(generation) = state.generations.remove(id) else {
             return text_response(404, "no such request");
         };
-        if !run.output.lock().done {
+        if !generation.output.lock().done {
             state.stats.cancelled += 1;
         }
-        run.finish(true);
+        generation.finish(true);
         text_response(200, "")
     }
 
@@ -272,11 +272,11 @@
         if let Err(refusal) = self.state.lock().begin_load(epoch) {
             return refusal.into();
         }
-        let run = self.state.lock().stats.incarnation.clone();
+        let incarnation = self.state.lock().stats.incarnation.clone();
         let fetched = self.fetch_weights(&order.weights).await;
         let mut state = self.state.lock();
         state.loading -= 1;
-        if run != state.stats.incarnation {
+        if incarnation != state.stats.incarnation {
             return text_response(503, "restarted");
         }
         if !fetched || state.faults.fail_loads > 0 {
@@ -286,7 +286,7 @@
         let adapter = state.faults.load_wrong.take().unwrap_or(order.adapter);
         state.loaded.insert(adapter.clone());
         state.stats.loads += 1;
-        json_response(&json!({ "adapter": adapter, "incarnation": run }))
+        json_response(&json!({ "adapter": adapter, "incarnation": incarnation }))
     }
 
     async fn fetch_weights(&self, path: &str) -> bool {
@@ -308,14 +308,15 @@
         if let Err(refusal) = state.check_epoch(epoch) {
             return refusal.into();
         }
-        let in_use =
-            |run: &Arc<Run>| run.adapter == order.adapter && !run.output.lock().done;
-        if state.runs.values().any(in_use) {
+        let in_use = |generation: &Arc<Generation>| {
+            generation.adapter == order.adapter && !generation.output.lock().done
+        };
+        if state.generations.values().any(in_use) {
             state.stats.unloads_in_use += 1;
         }
         state.loaded.remove(&order.adapter);
-        let run = state.stats.incarnation.clone();
-        json_response(&json!({ "adapter": order.adapter, "incarnation": run }))
+        let incarnation = state.stats.incarnation.clone();
+        json_response(&json!({ "adapter": order.adapter, "incarnation": incarnation }))
     }
 
     async fn set_faults(&self, req: &mut Request) -> Response {
@@ -329,7 +330,7 @@
     }
 }
 
-impl Web for Engine {
+impl HttpStandin for Engine {
     async fn answer(self: Arc<Self>, mut req: Request) -> Response {
         let path = req.url().path().to_owned();
         match (req.method(), &*path) {
@@ -362,12 +363,16 @@
         if self.faults.frozen {
             return base;
         }
-        let mut batch: Vec<_> =
-            self.runs.values().filter(|run| run.needs_token()).cloned().collect();
-        batch.sort_by_key(|run| run.priority);
+        let mut batch: Vec<_> = self
+            .generations
+            .values()
+            .filter(|generation| generation.needs_token())
+            .cloned()
+            .collect();
+        batch.sort_by_key(|generation| generation.priority);
         batch.truncate(self.faults.max_batch);
-        for run in &batch {
-            run.add_token(&mut self.faults.break_after);
+        for generation in &batch {
+            generation.add_token(&mut self.faults.break_after);
         }
         if !batch.is_empty() {
             self.stats.steps += 1;
@@ -377,14 +382,17 @@
         base + Duration::from_micros(self.faults.over_knee_us) * over
     }
 
-    fn admit(&mut self, run: &Arc<Run>) -> Result<(Response, bool), Refusal> {
-        if !self.loaded.contains(&run.adapter) {
+    fn admit(
+        &mut self,
+        generation: &Arc<Generation>,
+    ) -> Result<(Response, bool), Refusal> {
+        if !self.loaded.contains(&generation.adapter) {
             return Err(Refusal(404, "the adapter is not loaded"));
         }
-        self.runs.retain(|_, run| !run.is_fully_read());
-        self.stats.runs.push(format!("{} {}", run.adapter, run.prompt));
-        self.runs.insert(run.id.clone(), run.clone());
-        Ok((self.response_head(&run.adapter), self.faults.hang))
+        self.generations.retain(|_, generation| !generation.is_fully_read());
+        self.stats.runs.push(format!("{} {}", generation.adapter, generation.prompt));
+        self.generations.insert(generation.id.clone(), generation.clone());
+        Ok((self.response_head(&generation.adapter), self.faults.hang))
     }
 
     fn response_head(&self, adapter: &str) -> Response {
@@ -416,10 +424,12 @@
     fn delayed_report(&mut self) -> Response {
         let now = std::time::Instant::now();
         let running: Vec<_> = self
-            .runs
+            .generations
             .values()
-            .filter(|run| !run.output.lock().done)
-            .map(|run| json!({ "id": run.id, "adapter": run.adapter }))
+            .filter(|generation| !generation.output.lock().done)
+            .map(|generation| {
+                json!({ "id": generation.id, "adapter": generation.adapter })
+            })
             .collect();
         let report = json!({
             "incarnation": self.stats.incarnation,
@@ -439,7 +449,11 @@
 
     fn current_stats(&self) -> Stats {
         let mut stats = self.stats.clone();
-        stats.running = self.runs.values().filter(|run| !run.output.lock().done).count();
+        stats.running = self
+            .generations
+            .values()
+            .filter(|generation| !generation.output.lock().done)
+            .count();
         stats.resident = self.loaded.iter().cloned().collect();
         stats
     }
--- a/crates/larkspring-standin/src/engine/run.rs
+++ b/crates/larkspring-standin/src/engine/generation.rs
@@ -16,7 +16,7 @@
 
 /// A request in the engine.
 #[derive(Debug)]
-pub(super) struct Run {
+pub(super) struct Generation {
     pub id: String,
     pub adapter: String,
     pub prompt: String,
@@ -42,7 +42,7 @@
     pub wakers: Vec<Waker>,
 }
 
-impl Run {
+impl Generation {
     pub fn needs_token(&self) -> bool {
         let output = self.output.lock();
         !output.done
@@ -127,8 +127,12 @@
 }
 
 /// Returns a response that streams a request's answer from byte offset `from` on.
-pub(super) fn stream(mut head: Response, run: Arc<Run>, from: usize) -> Response {
-    let reader = Reader { run, at: from, chunk: Vec::new(), used: 0 };
+pub(super) fn stream(
+    mut head: Response,
+    generation: Arc<Generation>,
+    from: usize,
+) -> Response {
+    let reader = Reader { generation, at: from, chunk: Vec::new(), used: 0 };
     head.set_body(Body::from_reader(reader, None));
     head.insert_header("content-type", "text/event-stream");
     head
@@ -136,7 +140,7 @@
 
 /// Reads a request's answer from an offset on, and waits for tokens where needed.
 struct Reader {
-    run: Arc<Run>,
+    generation: Arc<Generation>,
     at: usize,
     chunk: Vec<u8>,
     used: usize,
@@ -147,7 +151,7 @@
         if self.used < self.chunk.len() {
             return Poll::Ready(Ok(()));
         }
-        let mut output = self.run.output.lock();
+        let mut output = self.generation.output.lock();
         let end = output.break_at.unwrap_or(usize::MAX).min(output.buf.len());
         if self.at < end {
             self.chunk = output.buf[self.at..end].to_vec();
--- a/crates/larkspring-standin/src/objects.rs
+++ b/crates/larkspring-standin/src/objects.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 use smol::Timer;
 
-use crate::web::{json_response, query_param, read_json, text_response, Web};
+use crate::web::{json_response, query_param, read_json, text_response, HttpStandin};
 
 /// The object API.
 #[derive(Debug, Default)]
@@ -55,7 +55,7 @@
 const OBJECTS_PATH: &str = "/v1/objects/";
 const WATCH_PATH: &str = "/v1/watch/";
 
-impl Web for Objects {
+impl HttpStandin for Objects {
     async fn answer(self: Arc<Self>, mut req: Request) -> Response {
         let path = req.url().path().to_owned();
         match (req.method(), &*path) {
--- a/crates/larkspring-standin/src/service.rs
+++ b/crates/larkspring-standin/src/service.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use smol::Timer;
 
-use crate::web::{json_response, read_json, text_response, Web};
+use crate::web::{json_response, read_json, text_response, HttpStandin};
 
 /// A plain service.
 #[derive(Debug, Default)]
@@ -41,7 +41,7 @@
     runs: Vec<Run>,
 }
 
-impl Web for Service {
+impl HttpStandin for Service {
     async fn answer(self: Arc<Self>, mut req: Request) -> Response {
         let path = req.url().path().to_owned();
         match (req.method(), &*path) {
--- a/crates/larkspring-standin/src/vms.rs
+++ b/crates/larkspring-standin/src/vms.rs
@@ -8,7 +8,7 @@
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
 
-use crate::web::{json_response, read_json, text_response, Web};
+use crate::web::{json_response, read_json, text_response, HttpStandin};
 
 /// The VM list.
 #[derive(Debug, Default)]
@@ -32,7 +32,7 @@
     pending: Option<(Instant, Vec<Vm>)>,
 }
 
-impl Web for Vms {
+impl HttpStandin for Vms {
     async fn answer(self: Arc<Self>, mut req: Request) -> Response {
         let path = req.url().path().to_owned();
         match (req.method(), &*path) {
--- a/crates/larkspring-standin/src/web.rs
+++ b/crates/larkspring-standin/src/web.rs
@@ -15,7 +15,7 @@
 use smol::Task;
 
 /// A stand-in that answers HTTP requests.
-pub trait Web: Send + Sync + 'static {
+pub trait HttpStandin: Send + Sync + 'static {
     /// Answers one request.
     fn answer(self: Arc<Self>, req: Request) -> impl Future<Output = Response> + Send;
 }
@@ -28,15 +28,15 @@
     _task: Task<()>,
 }
 
-struct HandlerAdapter<W>(Arc<W>);
+struct HandlerAdapter<S>(Arc<S>);
 
 const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 const MAX_CONNECTIONS: usize = 10_000;
 
 /// Binds `addr` and serves a stand-in there in the background.
-pub async fn start_standin<W: Web>(
+pub async fn start_standin<S: HttpStandin>(
     addr: SocketAddr,
-    web: Arc<W>,
+    standin: Arc<S>,
 ) -> io::Result<RunningStandin> {
     let listener = TcpListener::bind(addr).await?;
     let addr = listener.local_addr()?;
@@ -47,12 +47,15 @@
         stall_timeout: Duration::from_secs(600),
         max_connections: MAX_CONNECTIONS,
     };
-    let task =
-        larkspring::exec::spawn(serve(listener, limits, Arc::new(HandlerAdapter(web))));
+    let task = larkspring::exec::spawn(serve(
+        listener,
+        limits,
+        Arc::new(HandlerAdapter(standin)),
+    ));
     Ok(RunningStandin { addr, _task: task })
 }
 
-impl<W: Web> Handler for HandlerAdapter<W> {
+impl<S: HttpStandin> Handler for HandlerAdapter<S> {
     async fn handle(self: Arc<Self>, req: Request, _: SocketAddr) -> Response {
         self.0.clone().answer(req).await
     }
--- a/crates/larkspring-standin/src/weights.rs
+++ b/crates/larkspring-standin/src/weights.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use smol::Timer;
 
-use crate::web::{json_response, read_json, text_response, Web};
+use crate::web::{json_response, read_json, text_response, HttpStandin};
 
 /// The weight store.
 #[derive(Debug, Default)]
@@ -62,7 +62,7 @@
 /// Number of steps of a load, so that its speed follows the number of active loads.
 const LOAD_STEPS: u32 = 10;
 
-impl Web for Weights {
+impl HttpStandin for Weights {
     async fn answer(self: Arc<Self>, mut req: Request) -> Response {
         let path = req.url().path().to_owned();
         if path == "/faults" {
