--- a/crates/larkspring-cli/tests/common/site.rs
+++ b/crates/larkspring-cli/tests/common/site.rs
@@ -185,7 +185,7 @@
             let agents = if logs_connections { self.agents.len() } else { 0 };
             for agent in 0..agents {
                 let name = format!("agent {}", self.agent_addr(agent));
-                until("an entry hears an agent", || {
+                until("an entry connects to an agent", || {
                     let log = self.entries[n].log();
                     let is_connection =
                         |line: &Value| line["event"] == "dependency regained";
--- a/crates/larkspring-cli/tests/config.rs
+++ b/crates/larkspring-cli/tests/config.rs
@@ -41,11 +41,11 @@
     assert_ne!(text, leaving);
     cluster.declare(&leaving);
     // The agent refuses by itself, also if an entry has not applied the change yet.
-    until("the agent knows", || {
+    until("the agent has applied the change", || {
         let log = cluster.dir.path().join("engine-0.log");
         std::fs::read_to_string(log).unwrap().contains("\"revision\":2")
     });
-    until("the entry knows", || revision(cluster.entry()) == 2);
+    until("the entry has applied the change", || revision(cluster.entry()) == 2);
     let before = cluster.engine_stats(0)["runs"].as_array().unwrap().len();
     for n in 0..12 {
         let body = streamed(&format!("a{n}"), "new", 2);
@@ -119,7 +119,7 @@
         let text = String::from_utf8_lossy(&out.stdout);
         assert!(text.starts_with("revision 2 "), "{text}");
     }
-    until("it is in force", || revision(cluster.entry()) == 2);
+    until("the change is in force", || revision(cluster.entry()) == 2);
 }
 
 #[test]
@@ -208,7 +208,7 @@
             complete(&remaining, KEY, &body, &[]).text()
                 == expected(&format!("{name}@v1"), "new", 2)
         };
-        until("entry and agent know the new adapter", answered);
+        until("entry and agent serve the new adapter", answered);
         cluster.restart_entry(n);
         until("the entry is ready", || {
             common::client::status(&cluster.entries[n].addr, "/health") == 200
@@ -327,13 +327,13 @@
         }
     };
     list(true);
-    until("the agent knows", || vm_change_was_logged(1));
+    until("the agent has applied the change", || vm_change_was_logged(1));
     let before = runs();
     send_to_all_adapters();
     assert_eq!(runs(), before);
     list(false);
-    until("the agent knows", || vm_change_was_logged(2));
-    until("it serves again", || {
+    until("the agent has applied the change", || vm_change_was_logged(2));
+    until("the endpoint serves again", || {
         send_to_all_adapters();
         runs() > before
     });
--- a/crates/larkspring-cli/tests/faults.rs
+++ b/crates/larkspring-cli/tests/faults.rs
@@ -19,7 +19,9 @@
     );
     sock.read_until("a0@v1|left|").unwrap();
     drop(sock);
-    until("the engine was told", || cluster.engine_stats(0)["cancelled"] == 1);
+    until("the engine has cancelled the request", || {
+        cluster.engine_stats(0)["cancelled"] == 1
+    });
     // The only slot becomes free only if the pin is released.
     let answer = complete(cluster.entry(), KEY, &streamed("a1", "next", 2), &[]);
     assert_eq!(answer.text(), expected("a1@v1", "next", 2));
@@ -145,7 +147,7 @@
     }
     // The engine generates no more tokens for an answer that is not read, so that after
     // some time only the reading caller receives tokens.
-    until("the stalled answers stand still", || {
+    until("the stalled answers get no more tokens", || {
         let before = cluster.engine_stats(0)["tokens"].clone();
         let body = streamed("a0", "probe", 20);
         let probe = complete(cluster.entry(), KEY, &body, &[]);
@@ -307,7 +309,7 @@
         .collect();
     // Some requests reach the hanging engine first, others after the other engine refused
     // them.
-    until("all hang", || cluster.runs_of("unclear") == 8);
+    until("all requests hang", || cluster.runs_of("unclear") == 8);
     cluster.agents[0].kill();
     for conn in conns {
         let answer = conn.read();
--- a/crates/larkspring-cli/tests/once.rs
+++ b/crates/larkspring-cli/tests/once.rs
@@ -311,7 +311,7 @@
     }
     assert!(running.read().done());
     cluster.entries[0].wait_end();
-    until("the answer of the running one is found", || {
+    until("the answer of the running request is kept", || {
         let resend = send_once(&remaining, "running", "long", 1500);
         resend.header("larkspring-replayed") == Some("yes") || resend.status == 409
     });
@@ -323,7 +323,9 @@
     let settings = "  max_key_partitions: 30\n";
     let mut cluster =
         Cluster::start(Plan { entry_settings: settings, ..Plan::default() });
-    until("the first entry has its part", || cluster.entries[0].key_partitions() == 30);
+    until("the first entry holds its maximum", || {
+        cluster.entries[0].key_partitions() == 30
+    });
     for _ in 0..2 {
         cluster.add_entry();
     }
--- a/crates/larkspring-cli/tests/plan.rs
+++ b/crates/larkspring-cli/tests/plan.rs
@@ -101,7 +101,7 @@
             "{out:?}"
         );
     }
-    until("it is in force", || operated.revision() == 2);
+    until("the change is in force", || operated.revision() == 2);
 }
 
 #[test]
