--- a/crates/larkspring-cli/src/load/mod.rs
+++ b/crates/larkspring-cli/src/load/mod.rs
@@ -1,4 +1,4 @@
-//! The load tool: open-loop arrivals over a skewed choice of adapters, on the real path.
+//! The command `load`: an open-loop load with a skewed choice of adapters.
 
 pub mod arrivals;
 pub mod client;
@@ -12,13 +12,13 @@
 use smol::Timer;
 
 use self::arrivals::{Arrival, Workload};
-use self::client::Target;
+use self::client::Destination;
 use self::report::Report;
 use self::usage::Usage;
 use crate::args::LoadArgs;
 use crate::AnyError;
 
-/// Runs a load and prints what came of it.
+/// Runs a load and prints its results.
 pub fn run(args: &LoadArgs) -> Result<(), AnyError> {
     let workload = Workload {
         rate: args.rate,
@@ -27,7 +27,7 @@
         zipf: args.zipf,
         tokens: args.tokens,
         seed: args.seed,
-        shift_at: None,
+        shift_fraction: None,
         urgent_percent: 0,
     };
     let arrivals = workload.arrivals();
@@ -35,47 +35,52 @@
         let mut reports = Vec::new();
         if let Some(engine) = &args.engine {
             let direct =
-                [Target { addr: engine.clone(), key: String::new(), keyed: false }];
-            reports.push(("direct", drive(&arrivals, &direct, &args.name).await));
+                [Destination { addr: engine.clone(), key: String::new(), keyed: false }];
+            reports.push(("direct", send_load(&arrivals, &direct, &args.name).await));
         }
         let entries: Vec<_> = args
             .entry
             .iter()
-            .map(|addr| Target {
+            .map(|addr| Destination {
                 addr: addr.clone(),
                 key: args.key.clone(),
                 keyed: args.keyed,
             })
             .collect();
-        let middle = Usage::of(&args.watch);
-        reports.push(("entry", drive(&arrivals, &entries, &args.name).await));
-        let after = Usage::of(&args.watch);
+        let before = Usage::read_all(&args.watch);
+        reports.push(("entry", send_load(&arrivals, &entries, &args.name).await));
+        let after = Usage::read_all(&args.watch);
         for (name, report) in &reports {
             println!("{name}: {}", report.summary());
         }
         let chunks = reports.last().map_or(0, |(_, r)| r.chunks);
-        for (middle, after) in middle.iter().zip(&after) {
-            println!("{}", after.since(middle, chunks));
+        for (before, after) in before.iter().zip(&after) {
+            println!("{}", after.describe_since(before, chunks));
         }
         if let [(_, direct), (_, entry)] = &reports[..] {
-            println!("{}", entry.added_to(direct));
+            println!("{}", entry.latency_added_to(direct));
         }
         Ok(())
     })
 }
 
-/// Sends each arrival at its time, whatever became of the ones before.
-pub async fn drive(arrivals: &[Arrival], targets: &[Target], name: &str) -> Report {
+/// Sends each request at its arrival time without waiting for earlier answers, in turn to
+/// the destinations, and collects the results.
+pub async fn send_load(
+    arrivals: &[Arrival],
+    destinations: &[Destination],
+    name: &str,
+) -> Report {
     let start = Instant::now();
-    let targets: Arc<[Target]> = targets.into();
+    let destinations: Arc<[Destination]> = destinations.into();
     let mut tasks = Vec::new();
     for (n, arrival) in arrivals.iter().cloned().enumerate() {
         Timer::at(start + Duration::from_micros(arrival.at_us)).await;
-        let target = targets[n % targets.len()].clone();
+        let destination = destinations[n % destinations.len()].clone();
         let name = name.to_owned();
-        tasks.push(exec::spawn(
-            async move { client::send(&target, &arrival, &name).await },
-        ));
+        tasks.push(exec::spawn(async move {
+            client::send(&destination, &arrival, &name).await
+        }));
     }
     let mut report = Report::default();
     for task in tasks {
--- a/crates/larkspring-cli/src/load/usage.rs
+++ b/crates/larkspring-cli/src/load/usage.rs
@@ -1,8 +1,8 @@
-//! Processor time and memory of processes, as the system counts them.
+//! CPU time and memory of processes, from `/proc`.
 
 use std::fs;
 
-/// What a process has used so far.
+/// CPU time and memory that a process has used so far.
 #[derive(Debug, Clone, Default)]
 pub struct Usage {
     pid: u32,
@@ -11,20 +11,21 @@
     resident_kb: u64,
 }
 
-/// Microseconds of a tick of `/proc/PID/stat`.
+/// Length of a clock tick of `/proc/PID/stat`, in microseconds.
 const TICK_US: u64 = 10_000;
-/// Places of user and system time after the name of the program.
-const USER_TIME: usize = 11;
-const SYSTEM_TIME: usize = 12;
+/// Indexes of user and system time among the fields after the program's name.
+const USER_TIME_FIELD: usize = 11;
+const SYSTEM_TIME_FIELD: usize = 12;
 
 impl Usage {
-    /// Reads the usage of processes; one that has ended counts as nothing.
-    pub fn of(pids: &[u32]) -> Vec<Self> {
+    /// Returns the usage of each process; zero for a process that has ended.
+    pub fn read_all(pids: &[u32]) -> Vec<Self> {
         pids.iter().map(|pid| Self::read(*pid).unwrap_or_default()).collect()
     }
 
-    /// One line on the difference to `before`, for `chunks` relayed.
-    pub fn since(&self, before: &Self, chunks: u64) -> String {
+    /// Returns a line of text with the CPU time since `before`, in total and for each of
+    /// `chunks` relayed reads, and with the memory.
+    pub fn describe_since(&self, before: &Self, chunks: u64) -> String {
         let cpu = self.cpu_us - before.cpu_us;
         format!(
             "process {}: {} ms of processor, {:.1} us a chunk, resident {} KB, peak {} KB",
@@ -40,18 +41,18 @@
         let stat = fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
         let (_, fields) = stat.rsplit_once(") ")?;
         let fields: Vec<_> = fields.split(' ').collect();
-        let ticks = |place: usize| fields.get(place)?.parse::<u64>().ok();
+        let ticks = |index: usize| fields.get(index)?.parse::<u64>().ok();
         let status = fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
         Some(Self {
             pid,
-            cpu_us: (ticks(USER_TIME)? + ticks(SYSTEM_TIME)?) * TICK_US,
-            peak_kb: kb(&status, "VmHWM:")?,
-            resident_kb: kb(&status, "VmRSS:")?,
+            cpu_us: (ticks(USER_TIME_FIELD)? + ticks(SYSTEM_TIME_FIELD)?) * TICK_US,
+            peak_kb: kb_field(&status, "VmHWM:")?,
+            resident_kb: kb_field(&status, "VmRSS:")?,
         })
     }
 }
 
-fn kb(status: &str, name: &str) -> Option<u64> {
+fn kb_field(status: &str, name: &str) -> Option<u64> {
     let line = status.lines().find(|line| line.starts_with(name))?;
     line.split_whitespace().nth(1)?.parse().ok()
 }
--- a/crates/larkspring-cli/src/main.rs
+++ b/crates/larkspring-cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `larkspring`: every process and operator command, thin over the library.
+//! The `larkspring` program: parses the command line and runs a process or a command.
 
 mod args;
 mod decisions;
@@ -21,20 +21,20 @@
 
 use self::args::{Cli, Command};
 
-/// Exit code for input that is refused.
-const EXIT_REFUSED: u8 = 1;
+/// Exit code of a command that refuses its input or fails.
+const EXIT_FAILED: u8 = 1;
 
 fn main() -> ExitCode {
     match run(Cli::parse()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("{e}");
-            ExitCode::from(EXIT_REFUSED)
+            ExitCode::from(EXIT_FAILED)
         }
     }
 }
 
-/// Any error that ends the program; its text is all that is shown.
+/// An error that ends the program. Only its text is printed.
 type AnyError = Box<dyn std::error::Error>;
 
 fn run(cli: Cli) -> Result<(), AnyError> {
--- a/crates/larkspring-cli/src/operate.rs
+++ b/crates/larkspring-cli/src/operate.rs
@@ -1,4 +1,4 @@
-//! Operator commands.
+//! Operator commands on settings and on the declared state.
 
 use std::time::Duration;
 
@@ -15,13 +15,13 @@
 const API_TIMEOUT: Duration = Duration::from_secs(5);
 const OPERATOR_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Checks settings and declarations.
+/// Validates settings and declarations and reports all errors at once.
 pub fn check(args: &CheckArgs) -> Result<(), AnyError> {
-    let mut faults = Vec::new();
+    let mut errors = Vec::new();
     for file in &args.settings {
         match settings::load(file) {
             Ok(_) => println!("{}: settings are valid", file.display()),
-            Err(e) => faults.push(e.to_string()),
+            Err(e) => errors.push(e.to_string()),
         }
     }
     for dir in &args.declarations {
@@ -34,41 +34,43 @@
                 all.services.len(),
                 all.endpoints.len()
             ),
-            Err(e) => faults.push(e.to_string()),
+            Err(e) => errors.push(e.to_string()),
         }
     }
-    match faults.is_empty() {
+    match errors.is_empty() {
         true => Ok(()),
-        false => Err(faults.join("\n").into()),
+        false => Err(errors.join("\n").into()),
     }
 }
 
-/// Asks an entry for a plan and prints it.
+/// Requests a plan from an entry and prints it.
 pub fn plan(args: &PlanArgs) -> Result<(), AnyError> {
     let all = declare::read_dir(&args.declarations)?;
     let text = serde_json::to_string(&all)?;
-    let plan = exec::run(1, call(&args.to, Method::Post, "/plans", text))?;
+    let plan = exec::run(1, call_operator_api(&args.to, Method::Post, "/plans", text))?;
     println!("{}", serde_json::to_string_pretty(&plan)?);
     Ok(())
 }
 
-/// Puts a plan into effect.
+/// Confirms a plan, which publishes its changes.
 pub fn confirm(args: &ConfirmArgs) -> Result<(), AnyError> {
     let path = format!("/plans/{}/confirm", args.plan);
-    let done = exec::run(1, call(&args.to, Method::Post, &path, String::new()))?;
-    println!("revision {} accepted", done["revision"]);
+    let confirmed =
+        exec::run(1, call_operator_api(&args.to, Method::Post, &path, String::new()))?;
+    println!("revision {} accepted", confirmed["revision"]);
     Ok(())
 }
 
 /// Prints the declared state.
 pub fn export(args: &OperatorArgs) -> Result<(), AnyError> {
-    let all = exec::run(1, call(args, Method::Get, "/declared", String::new()))?;
+    let all =
+        exec::run(1, call_operator_api(args, Method::Get, "/declared", String::new()))?;
     print!("{}", serde_yaml_ng::to_string(&all)?);
     Ok(())
 }
 
-/// Calls the operators' API of an entry.
-async fn call(
+/// Calls the operator API of an entry.
+async fn call_operator_api(
     to: &OperatorArgs,
     method: Method,
     path: &str,
@@ -90,7 +92,7 @@
     }
 }
 
-/// Makes a folder of declarations the declared state.
+/// Publishes a folder of declarations as the declared state.
 pub fn apply(args: &ApplyArgs) -> Result<(), AnyError> {
     let all = declare::read_dir(&args.declarations)?;
     let change =
--- a/crates/larkspring-standin/src/engine.rs
+++ b/crates/larkspring-standin/src/engine.rs
@@ -1,9 +1,10 @@
 //! Stand-in for a model engine: adapter slots, continuous batching and restarts.
 //!
-//! Each step gives one token to each request of the batch. A step takes a base time and
-//! a part for each request over the knee, as on a real accelerator.
+//! A step generates one token for each request of the batch. As on an accelerator, it
+//! takes a base time up to a number of requests (the knee), and more time for each
+//! further request.
 
-mod run;
+mod generation;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -17,8 +18,8 @@
 use serde_json::json;
 use smol::Timer;
 
-use self::run::{stream, Run};
-use crate::web::{json as answer_json, query, read, text, Web};
+use self::generation::{stream, Generation};
+use crate::web::{json_response, query_param, read_json, text_response, HttpStandin};
 
 /// A model engine.
 #[derive(Debug)]
@@ -27,35 +28,35 @@
     state: Mutex<State>,
 }
 
-/// How the engine behaves.
+/// Behaviour and faults of the engine.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Adapter slots.
+    /// Number of adapter slots.
     pub slots: usize,
-    /// Requests in a batch.
+    /// Maximum number of requests in a batch.
     pub max_batch: usize,
-    /// Requests up to which a step takes its base time.
+    /// Batch size up to which a step takes its base time.
     pub knee: usize,
     /// Base time of a step, in microseconds.
     pub step_us: u64,
-    /// Time for each request over the knee, in microseconds.
+    /// Additional time of a step for each request over the knee, in microseconds.
     pub over_knee_us: u64,
-    /// Number of loads that fail.
+    /// Number of next loads that fail.
     pub fail_loads: u64,
-    /// Version that the next load takes in place of the one ordered.
+    /// Target that the next load takes instead of the ordered one.
     pub load_wrong: Option<String>,
-    /// Tokens after which the next answer's connection breaks.
+    /// Number of tokens after which the connection of the next streamed answer breaks.
     pub break_after: Option<u64>,
-    /// Whether a broken answer can be resumed.
+    /// Whether an interrupted answer can be resumed.
     pub resumable: bool,
-    /// Whether no request gets tokens.
+    /// Whether token generation is suspended.
     pub frozen: bool,
-    /// Whether requests run and their answers never begin.
+    /// Whether requests run without ever being answered.
     pub hang: bool,
-    /// Whether orders with an old epoch are refused.
+    /// Whether load and unload orders with an old epoch are refused.
     pub checks_fences: bool,
-    /// Age of the reports, in milliseconds.
+    /// Delay of the load reports, in milliseconds.
     pub report_lag_ms: u64,
 }
 
@@ -79,28 +80,28 @@
     }
 }
 
-/// What the engine saw.
+/// Counts and present state of the engine.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Stats {
-    /// The present run.
+    /// Id of the present run.
     pub incarnation: String,
     /// Requests that began to run, as `adapter@version prompt`.
     pub runs: Vec<String>,
-    /// Requests that were cancelled.
+    /// Number of requests cancelled before their end.
     pub cancelled: u64,
-    /// Requests that run now.
+    /// Number of requests in progress.
     pub running: usize,
-    /// Adapters that are loaded now.
+    /// Targets that are loaded now.
     pub resident: Vec<String>,
-    /// Loads that ended well.
+    /// Number of successful loads.
     pub loads: u64,
-    /// Unloads of an adapter that a request was using.
+    /// Number of unloads of an adapter while a request used it.
     pub unloads_in_use: u64,
-    /// Orders that were refused for their epoch.
+    /// Number of orders refused for an old epoch.
     pub fenced: u64,
-    /// Steps made.
+    /// Number of steps with at least one request.
     pub steps: u64,
-    /// Tokens given out.
+    /// Number of generated tokens.
     pub tokens: u64,
 }
 
@@ -110,7 +111,7 @@
     stats: Stats,
     loaded: BTreeSet<String>,
     loading: usize,
-    runs: BTreeMap<String, Arc<Run>>,
+    generations: BTreeMap<String, Arc<Generation>>,
     epoch: u64,
     reports: VecDeque<(std::time::Instant, serde_json::Value)>,
 }
@@ -140,12 +141,12 @@
     weights: String,
 }
 
-/// A refusal: its status and why.
-struct Denied(u16, &'static str);
+/// A refusal, as HTTP status and reason.
+struct Refusal(u16, &'static str);
 
-impl From<Denied> for Response {
-    fn from(denied: Denied) -> Self {
-        text(denied.0, denied.1)
+impl From<Refusal> for Response {
+    fn from(refusal: Refusal) -> Self {
+        text_response(refusal.0, refusal.1)
     }
 }
 
@@ -153,12 +154,13 @@
     16
 }
 
-/// Reports that are kept to be given out late.
-const REPORTS: usize = 64;
+/// Maximum number of load reports that are kept to be returned with a delay.
+const MAX_REPORTS: usize = 64;
 const LOAD_TIMEOUT: Duration = Duration::from_secs(60);
 
 impl Engine {
-    /// Creates an engine that loads from the weight store at `weights`, if given.
+    /// Starts an engine that fetches from the weight store at `weights`. Without a store,
+    /// loads take no time.
     pub fn new(weights: Option<String>, faults: Faults) -> Arc<Self> {
         let stats = Stats { incarnation: new_incarnation(), ..Stats::default() };
         let state = State {
@@ -166,16 +168,16 @@
             stats,
             loaded: BTreeSet::new(),
             loading: 0,
-            runs: BTreeMap::new(),
+            generations: BTreeMap::new(),
             epoch: 0,
             reports: VecDeque::new(),
         };
         let engine = Arc::new(Self { weights, state: Mutex::new(state) });
-        exec::spawn(engine.clone().step_for_ever()).detach();
+        exec::spawn(engine.clone().run_steps()).detach();
         engine
     }
 
-    async fn step_for_ever(self: Arc<Self>) {
+    async fn run_steps(self: Arc<Self>) {
         loop {
             let wait = self.state.lock().step();
             Timer::after(wait).await;
@@ -187,104 +189,104 @@
         state.stats.incarnation = new_incarnation();
         state.loaded.clear();
         state.reports.clear();
-        for run in std::mem::take(&mut state.runs).into_values() {
-            run.end(true);
+        for generation in std::mem::take(&mut state.generations).into_values() {
+            generation.finish(true);
         }
-        text(200, "")
+        text_response(200, "")
     }
 
     async fn complete(&self, mut req: Request, chat: bool) -> Response {
-        let order: Completion = match read(&mut req).await {
-            Ok(order) => order,
+        let completion: Completion = match read_json(&mut req).await {
+            Ok(completion) => completion,
             Err(res) => return res,
         };
         let header = |name: &str| req.header(name).map(|v| v.as_str().to_owned());
         let id = header("x-request-id").unwrap_or_else(|| fastrand::u64(..).to_string());
         let priority = header("x-priority").and_then(|v| v.parse().ok()).unwrap_or(5);
-        let prompt = match order.messages.last() {
+        let prompt = match completion.messages.last() {
             Some(message) => message.content.clone(),
-            None => order.prompt,
+            None => completion.prompt,
         };
-        let run = Arc::new(Run {
+        let generation = Arc::new(Generation {
             id: id.clone(),
-            adapter: order.model,
+            adapter: completion.model,
             prompt,
             chat,
-            stream: order.stream,
-            max_tokens: order.max_tokens.max(1),
+            stream: completion.stream,
+            max_tokens: completion.max_tokens.max(1),
             priority,
-            out: Mutex::default(),
+            output: Mutex::default(),
         });
-        let (head, hang) = match self.state.lock().enter(&run) {
+        let (head, hang) = match self.state.lock().admit(&generation) {
             Ok(entered) => entered,
-            Err(denied) => return denied.into(),
+            Err(refusal) => return refusal.into(),
         };
         if hang {
             std::future::pending::<()>().await;
         }
-        if order.stream {
-            return stream(head, run, 0);
+        if completion.stream {
+            return stream(head, generation, 0);
         }
-        let whole = run.clone();
-        std::future::poll_fn(move |cx| whole.poll_end(cx)).await;
-        match run.whole() {
+        let waiting = generation.clone();
+        std::future::poll_fn(move |cx| waiting.poll_done(cx)).await;
+        match generation.full_answer() {
             Some(body) => {
                 let mut res = head;
                 res.set_body(Body::from_string(body));
                 res.insert_header("content-type", "application/json");
                 res
             }
-            None => stream(head, run, 0),
+            None => stream(head, generation, 0),
         }
     }
 
     fn resume(&self, id: &str, req: &Request) -> Response {
-        let from = query(req, "from").and_then(|v| v.parse().ok()).unwrap_or(0);
+        let from = query_param(req, "from").and_then(|v| v.parse().ok()).unwrap_or(0);
         let state = self.state.lock();
-        let run = match state.runs.get(id) {
-            Some(run) if state.faults.resumable => run.clone(),
-            _ => return text(404, "no such stream"),
+        let generation = match state.generations.get(id) {
+            Some(generation) if state.faults.resumable => generation.clone(),
+            _ => return text_response(404, "no such stream"),
         };
-        run.out.lock().break_at = None;
-        stream(state.head(&run.adapter), run, from)
+        generation.output.lock().break_at = None;
+        stream(state.response_head(&generation.adapter), generation, from)
     }
 
     fn cancel(&self, id: &str) -> Response {
         let mut state = self.state.lock();
-        let Some(run) = state.runs.remove(id) else {
-            return text(404, "no such request");
+        let Some(generation) = state.generations.remove(id) else {
+            return text_response(404, "no such request");
         };
-        if !run.out.lock().done {
+        if !generation.output.lock().done {
             state.stats.cancelled += 1;
         }
-        run.end(true);
-        text(200, "")
+        generation.finish(true);
+        text_response(200, "")
     }
 
     async fn load(&self, req: &mut Request) -> Response {
-        let epoch = epoch_of(req);
-        let order: Order = match read(req).await {
+        let epoch = epoch_header(req);
+        let order: Order = match read_json(req).await {
             Ok(order) => order,
             Err(res) => return res,
         };
-        if let Err(denied) = self.state.lock().begin_load(epoch) {
-            return denied.into();
+        if let Err(refusal) = self.state.lock().begin_load(epoch) {
+            return refusal.into();
         }
-        let run = self.state.lock().stats.incarnation.clone();
+        let incarnation = self.state.lock().stats.incarnation.clone();
         let fetched = self.fetch_weights(&order.weights).await;
         let mut state = self.state.lock();
         state.loading -= 1;
-        if run != state.stats.incarnation {
-            return text(503, "restarted");
+        if incarnation != state.stats.incarnation {
+            return text_response(503, "restarted");
         }
         if !fetched || state.faults.fail_loads > 0 {
             state.faults.fail_loads = state.faults.fail_loads.saturating_sub(1);
-            return text(500, "the load failed");
+            return text_response(500, "the load failed");
         }
         let adapter = state.faults.load_wrong.take().unwrap_or(order.adapter);
         state.loaded.insert(adapter.clone());
         state.stats.loads += 1;
-        answer_json(&json!({ "adapter": adapter, "incarnation": run }))
+        json_response(&json!({ "adapter": adapter, "incarnation": incarnation }))
     }
 
     async fn fetch_weights(&self, path: &str) -> bool {
@@ -297,37 +299,38 @@
     }
 
     async fn unload(&self, req: &mut Request) -> Response {
-        let epoch = epoch_of(req);
-        let order: Order = match read(req).await {
+        let epoch = epoch_header(req);
+        let order: Order = match read_json(req).await {
             Ok(order) => order,
             Err(res) => return res,
         };
         let mut state = self.state.lock();
-        if let Err(denied) = state.check_epoch(epoch) {
-            return denied.into();
+        if let Err(refusal) = state.check_epoch(epoch) {
+            return refusal.into();
         }
-        let in_use =
-            |run: &Arc<Run>| run.adapter == order.adapter && !run.out.lock().done;
-        if state.runs.values().any(in_use) {
+        let in_use = |generation: &Arc<Generation>| {
+            generation.adapter == order.adapter && !generation.output.lock().done
+        };
+        if state.generations.values().any(in_use) {
             state.stats.unloads_in_use += 1;
         }
         state.loaded.remove(&order.adapter);
-        let run = state.stats.incarnation.clone();
-        answer_json(&json!({ "adapter": order.adapter, "incarnation": run }))
+        let incarnation = state.stats.incarnation.clone();
+        json_response(&json!({ "adapter": order.adapter, "incarnation": incarnation }))
     }
 
     async fn set_faults(&self, req: &mut Request) -> Response {
-        match read(req).await {
+        match read_json(req).await {
             Ok(faults) => {
                 self.state.lock().faults = faults;
-                text(200, "")
+                text_response(200, "")
             }
             Err(res) => res,
         }
     }
 }
 
-impl Web for Engine {
+impl HttpStandin for Engine {
     async fn answer(self: Arc<Self>, mut req: Request) -> Response {
         let path = req.url().path().to_owned();
         match (req.method(), &*path) {
@@ -335,37 +338,41 @@
             (Method::Post, "/v1/chat/completions") => self.complete(req, true).await,
             (Method::Post, "/v1/load_lora_adapter") => self.load(&mut req).await,
             (Method::Post, "/v1/unload_lora_adapter") => self.unload(&mut req).await,
-            (Method::Get, "/v1/load") => self.state.lock().report(),
-            (Method::Get, "/stats") => answer_json(&self.state.lock().present()),
+            (Method::Get, "/v1/load") => self.state.lock().delayed_report(),
+            (Method::Get, "/stats") => json_response(&self.state.lock().current_stats()),
             (Method::Get, "/totals") => {
-                let stats = Stats { runs: vec![], ..self.state.lock().present() };
-                answer_json(&stats)
+                let stats = Stats { runs: vec![], ..self.state.lock().current_stats() };
+                json_response(&stats)
             }
-            (Method::Get, "/faults") => answer_json(&self.state.lock().faults),
+            (Method::Get, "/faults") => json_response(&self.state.lock().faults),
             (Method::Post, "/faults") => self.set_faults(&mut req).await,
             (Method::Post, "/restart") => self.restart(),
             _ => match path.rsplit_once('/') {
                 Some(("/v1/cancel", id)) => self.cancel(id),
                 Some(("/v1/streams", id)) => self.resume(id, &req),
-                _ => text(404, "no such path"),
+                _ => text_response(404, "no such path"),
             },
         }
     }
 }
 
 impl State {
-    /// Makes one step and returns how long it takes.
+    /// Performs one step and returns its duration.
     fn step(&mut self) -> Duration {
         let base = Duration::from_micros(self.faults.step_us);
         if self.faults.frozen {
             return base;
         }
-        let mut batch: Vec<_> =
-            self.runs.values().filter(|run| run.takes_tokens()).cloned().collect();
-        batch.sort_by_key(|run| run.priority);
+        let mut batch: Vec<_> = self
+            .generations
+            .values()
+            .filter(|generation| generation.needs_token())
+            .cloned()
+            .collect();
+        batch.sort_by_key(|generation| generation.priority);
         batch.truncate(self.faults.max_batch);
-        for run in &batch {
-            run.step(&mut self.faults.break_after);
+        for generation in &batch {
+            generation.add_token(&mut self.faults.break_after);
         }
         if !batch.is_empty() {
             self.stats.steps += 1;
@@ -375,49 +382,54 @@
         base + Duration::from_micros(self.faults.over_knee_us) * over
     }
 
-    fn enter(&mut self, run: &Arc<Run>) -> Result<(Response, bool), Denied> {
-        if !self.loaded.contains(&run.adapter) {
-            return Err(Denied(404, "the adapter is not loaded"));
+    fn admit(
+        &mut self,
+        generation: &Arc<Generation>,
+    ) -> Result<(Response, bool), Refusal> {
+        if !self.loaded.contains(&generation.adapter) {
+            return Err(Refusal(404, "the adapter is not loaded"));
         }
-        self.runs.retain(|_, run| !run.is_read());
-        self.stats.runs.push(format!("{} {}", run.adapter, run.prompt));
-        self.runs.insert(run.id.clone(), run.clone());
-        Ok((self.head(&run.adapter), self.faults.hang))
+        self.generations.retain(|_, generation| !generation.is_fully_read());
+        self.stats.runs.push(format!("{} {}", generation.adapter, generation.prompt));
+        self.generations.insert(generation.id.clone(), generation.clone());
+        Ok((self.response_head(&generation.adapter), self.faults.hang))
     }
 
-    fn head(&self, adapter: &str) -> Response {
+    fn response_head(&self, adapter: &str) -> Response {
         let mut res = Response::new(200);
         res.insert_header("x-engine-incarnation", self.stats.incarnation.as_str());
         res.insert_header("x-engine-adapter", adapter);
         res
     }
 
-    fn begin_load(&mut self, epoch: u64) -> Result<(), Denied> {
+    fn begin_load(&mut self, epoch: u64) -> Result<(), Refusal> {
         self.check_epoch(epoch)?;
         if self.loaded.len() + self.loading >= self.faults.slots {
-            return Err(Denied(409, "no free slot"));
+            return Err(Refusal(409, "no free slot"));
         }
         self.loading += 1;
         Ok(())
     }
 
-    fn check_epoch(&mut self, epoch: u64) -> Result<(), Denied> {
+    fn check_epoch(&mut self, epoch: u64) -> Result<(), Refusal> {
         if self.faults.checks_fences && epoch < self.epoch {
             self.stats.fenced += 1;
-            return Err(Denied(403, "an old epoch"));
+            return Err(Refusal(403, "an old epoch"));
         }
         self.epoch = self.epoch.max(epoch);
         Ok(())
     }
 
-    /// Answers the state of some time ago.
-    fn report(&mut self) -> Response {
+    /// Records a load report and returns an earlier one, delayed by `report_lag_ms`.
+    fn delayed_report(&mut self) -> Response {
         let now = std::time::Instant::now();
         let running: Vec<_> = self
-            .runs
+            .generations
             .values()
-            .filter(|run| !run.out.lock().done)
-            .map(|run| json!({ "id": run.id, "adapter": run.adapter }))
+            .filter(|generation| !generation.output.lock().done)
+            .map(|generation| {
+                json!({ "id": generation.id, "adapter": generation.adapter })
+            })
             .collect();
         let report = json!({
             "incarnation": self.stats.incarnation,
@@ -427,23 +439,27 @@
         self.reports.push_back((now, report));
         let lag = Duration::from_millis(self.faults.report_lag_ms);
         let old = |at: &std::time::Instant| now.duration_since(*at) >= lag;
-        while self.reports.len() > REPORTS
+        while self.reports.len() > MAX_REPORTS
             || self.reports.get(1).is_some_and(|(at, _)| old(at))
         {
             self.reports.pop_front();
         }
-        answer_json(&self.reports.front().map(|(_, report)| report))
+        json_response(&self.reports.front().map(|(_, report)| report))
     }
 
-    fn present(&self) -> Stats {
+    fn current_stats(&self) -> Stats {
         let mut stats = self.stats.clone();
-        stats.running = self.runs.values().filter(|run| !run.out.lock().done).count();
+        stats.running = self
+            .generations
+            .values()
+            .filter(|generation| !generation.output.lock().done)
+            .count();
         stats.resident = self.loaded.iter().cloned().collect();
         stats
     }
 }
 
-fn epoch_of(req: &Request) -> u64 {
+fn epoch_header(req: &Request) -> u64 {
     req.header("x-epoch").and_then(|v| v.as_str().parse().ok()).unwrap_or(0)
 }
 
--- a/crates/larkspring-standin/src/service.rs
+++ b/crates/larkspring-standin/src/service.rs
@@ -1,4 +1,4 @@
-//! Stand-in for a plain service: it counts what it ran and may be slow or break off.
+//! Stand-in for a plain service, which records its calls and may be slow or never answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use smol::Timer;
 
-use crate::web::{json, read, text, Web};
+use crate::web::{json_response, read_json, text_response, HttpStandin};
 
 /// A plain service.
 #[derive(Debug, Default)]
@@ -16,13 +16,13 @@
     state: Mutex<State>,
 }
 
-/// Faults that the service shows.
+/// Faults of the service.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Time that a call takes, in milliseconds.
+    /// Duration of a call, in milliseconds.
     pub slow_ms: u64,
-    /// Number of calls that run and never answer.
+    /// Number of next calls that run and are never answered.
     pub hang: u64,
 }
 
@@ -31,7 +31,7 @@
 pub struct Run {
     /// Method and path with query.
     pub call: String,
-    /// Body.
+    /// Body of the request.
     pub body: String,
 }
 
@@ -41,18 +41,18 @@
     runs: Vec<Run>,
 }
 
-impl Web for Service {
+impl HttpStandin for Service {
     async fn answer(self: Arc<Self>, mut req: Request) -> Response {
         let path = req.url().path().to_owned();
         match (req.method(), &*path) {
-            (Method::Post, "/faults") => match read(&mut req).await {
+            (Method::Post, "/faults") => match read_json(&mut req).await {
                 Ok(faults) => {
                     self.state.lock().faults = faults;
-                    text(200, "")
+                    text_response(200, "")
                 }
                 Err(res) => res,
             },
-            (Method::Get, "/stats") => json(&self.state.lock().runs),
+            (Method::Get, "/stats") => json_response(&self.state.lock().runs),
             _ => self.run(req).await,
         }
     }
@@ -74,6 +74,6 @@
         if hang {
             std::future::pending::<()>().await;
         }
-        json(&serde_json::json!({ "ran": call }))
+        json_response(&serde_json::json!({ "ran": call }))
     }
 }
--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -1,4 +1,5 @@
-//! Repository tasks: `cargo run -p xtask -- generate` writes the generated code.
+//! Repository tasks. `cargo run -p xtask -- generate` writes the code generated from the
+//! schema.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -13,7 +14,7 @@
     "settings.proto",
 ];
 const OUT_DIR: &str = "crates/larkspring-proto/src/gen";
-const SERDE: &str = "#[derive(serde::Serialize, serde::Deserialize)] \
+const SERDE_ATTRIBUTES: &str = "#[derive(serde::Serialize, serde::Deserialize)] \
                      #[serde(default, deny_unknown_fields)]";
 
 fn main() -> ExitCode {
@@ -33,7 +34,7 @@
     }
 }
 
-/// Writes the Rust types and service stubs of every schema file.
+/// Generates the Rust types and service stubs of every schema file.
 fn generate() -> Result<(), Box<dyn std::error::Error>> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
     let files = protox::compile(SCHEMAS, [root.join("schema")])?;
@@ -43,10 +44,10 @@
         .build_transport(false)
         .codec_path("crate::codec::SmallCodec")
         .out_dir(out)
-        .type_attribute(".larkspring.declared", SERDE)
-        .type_attribute(".larkspring.settings", SERDE)
-        .type_attribute(".larkspring.keys.KeyTable", SERDE)
-        .type_attribute(".larkspring.keys.Tenure", SERDE)
+        .type_attribute(".larkspring.declared", SERDE_ATTRIBUTES)
+        .type_attribute(".larkspring.settings", SERDE_ATTRIBUTES)
+        .type_attribute(".larkspring.keys.KeyTable", SERDE_ATTRIBUTES)
+        .type_attribute(".larkspring.keys.Tenure", SERDE_ATTRIBUTES)
         .bytes(".larkspring.agent")
         .bytes(".larkspring.keys")
         .bytes(".larkspring.config")
