--- a/crates/larkspring/src/entry/answer.rs
+++ b/crates/larkspring/src/entry/answer.rs
@@ -1,4 +1,4 @@
-//! The answer to a caller, relayed as it comes under the caller's own pace.
+//! Relay of an answer to the caller, with flow control by the caller's reads.
 
 use std::io;
 use std::pin::Pin;
@@ -22,12 +22,12 @@
 use crate::rpc::credit::units;
 use crate::wire::refusal_from_wire;
 
-/// Header with the microseconds that the request waited for its adapter to load.
+/// Header with the time in microseconds that the request waited for its adapter to load.
 const LOAD_WAIT: &str = "larkspring-load-wait-us";
 const EVENT_STREAM: &str = "text/event-stream";
-/// Time by which the agent's own answer to a missed deadline may come later.
+/// Time after the deadline in which the agent may still report that the deadline passed.
 const AGENT_GRACE: Duration = Duration::from_secs(1);
-/// Credit is sent back in portions of at least this many units.
+/// Minimum number of units in one credit message.
 const CREDIT_PORTION: u32 = 16;
 
 /// Builds the response that relays an answer.
@@ -40,7 +40,7 @@
     res.set_body(Body::from_reader(Exclusive(Mutex::new(relay)), None));
     let wait = begun.begin.load_wait_us;
     res.insert_header(LOAD_WAIT, wait.to_string());
-    // An endpoint may send what is no valid value.
+    // An endpoint may send a content type that is not a valid header value.
     if let Ok(value) = content_type.parse::<HeaderValue>() {
         res.insert_header("content-type", value);
     }
@@ -49,17 +49,17 @@
 
 /// Reads an answer from an agent.
 ///
-/// A broken answer ends in an error, upon which the connection to the caller closes
-/// without its last chunk, so that it can't be taken for a whole one.
+/// An interrupted answer ends in an error. The connection to the caller then closes without
+/// the last chunk, so that the caller cannot take the answer for a complete one.
 struct Relay {
     call: Option<Call>,
-    /// Released with the end of the answer.
+    /// Released when the answer ends.
     permit: Option<Permit>,
-    /// Settled with the end of the answer.
+    /// Settled when the answer ends.
     claim: Option<Claim>,
     events: bool,
     chunk: Bytes,
-    /// Units that were read and not yet granted again.
+    /// Units that were received and not yet granted again.
     owed: u32,
     broken: Option<String>,
     timer: Timer,
@@ -142,15 +142,15 @@
     }
 
     fn finish(&mut self) {
-        // A claim that is still here is settled as unclear by its drop.
+        // Dropping a claim that is not settled settles it as unknown.
         self.claim = None;
         self.call = None;
         self.permit = None;
     }
 
-    /// Ends the answer as broken; a stream of events says so in its last event.
+    /// Ends the answer as interrupted; an event stream gets a last event with the error.
     fn break_off(&mut self, refusal: Refusal) {
-        tracing::info!(%refusal, "an answer broke off");
+        tracing::info!(%refusal, "answer interrupted");
         if self.events {
             let body = refuse::body(&refusal);
             self.chunk = format!("event: error\ndata: {body}\n\n").into();
@@ -161,7 +161,8 @@
 }
 
 impl Drop for Relay {
-    /// Takes the rest of an answer that runs at most once, so that a resend gets it.
+    /// Reads the rest of an at-most-once answer in the background, so that it is kept and
+    /// replayed on a retry.
     fn drop(&mut self) {
         if self.claim.is_none() || self.call.is_none() {
             return;
@@ -186,7 +187,7 @@
     }
 }
 
-/// Polls a timer without its value.
+/// Polls a timer and drops the value.
 trait PollTimer {
     fn poll_timer(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()>;
 }
@@ -197,7 +198,7 @@
     }
 }
 
-/// Makes a reader shareable, as http-types asks; it is only used by one task.
+/// Makes the relay `Sync`, which http-types requires of a body; only one task uses it.
 struct Exclusive(Mutex<Relay>);
 
 impl AsyncRead for Exclusive {
--- a/crates/larkspring/src/entry/dispatch.rs
+++ b/crates/larkspring/src/entry/dispatch.rs
@@ -1,4 +1,4 @@
-//! The attempts at a request: choosing an endpoint, sending, and trying another.
+//! Dispatch of a request: choosing an endpoint, sending, and retrying at another endpoint.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -24,13 +24,13 @@
 use crate::rpc::credit::INITIAL_UNITS;
 use crate::wire::{hint_from_wire, refusal_from_wire};
 
-/// An answer that has begun.
+/// An answer whose head has arrived.
 pub struct Begun {
-    /// Its head.
+    /// The head of the answer.
     pub begin: Begin,
-    /// The call that carries the rest.
+    /// The call that carries the body.
     pub call: Call,
-    /// When the caller gives up.
+    /// The request's deadline.
     pub deadline: Instant,
 }
 
@@ -42,20 +42,20 @@
     down: Option<Streaming<DispatchDown>>,
 }
 
-/// Attempts at a request that goes to one endpoint after another.
+/// Maximum number of attempts at a request, each at another endpoint.
 const MAX_ATTEMPTS: usize = 4;
 const FIRST_BACKOFF: Duration = Duration::from_millis(10);
 const LONGEST_BACKOFF: Duration = Duration::from_millis(250);
-/// Time by which an agent's own answer to a missed deadline may come later.
+/// Time after the deadline in which the agent may still report that the deadline passed.
 const AGENT_GRACE: Duration = Duration::from_millis(500);
-/// When to come back where no endpoint could be chosen.
+/// Retry delay sent when no endpoint could be chosen or reached.
 const NO_ENDPOINT_RETRY: Duration = Duration::from_secs(1);
 
-/// Dispatches a request until an answer begins or no attempt is left.
+/// Dispatches a request, with retries, until an answer begins or no attempt is left.
 pub async fn run(entry: &Arc<Inner>, req: Inbound) -> Result<Begun, Refusal> {
     entry.budget.lock().earn();
     let mut tried: Vec<EndpointId> = Vec::new();
-    // How an earlier attempt ended that an endpoint may have run.
+    // Outcome of the latest earlier attempt that an endpoint may have run.
     let mut earlier = None;
     let mut rng = fastrand::Rng::new();
     let mut next = choose(entry, &req, &tried, &mut rng);
@@ -83,12 +83,12 @@
             earlier = Some(last.outcome);
         }
         entry.metrics.count("retries", "outcome", "sent");
-        tracing::info!(refusal = %last, "another endpoint is tried");
+        tracing::info!(refusal = %last, "retrying at another endpoint");
         Timer::after(wait).await;
     }
 }
 
-/// Whether another attempt keeps the promise for the request.
+/// Whether a retry cannot run the request more often than the caller allows.
 fn may_retry(req: &Inbound, last: &Refusal) -> bool {
     match last.outcome {
         Outcome::NotRun => last.elsewhere,
@@ -125,7 +125,7 @@
     })
 }
 
-/// Makes one attempt at one endpoint, up to the beginning of its answer.
+/// Makes one attempt at one endpoint and waits for the head of the answer.
 async fn attempt(
     entry: &Arc<Inner>,
     req: &Inbound,
@@ -166,7 +166,7 @@
     }
 }
 
-/// Sends the request to the endpoint's agent.
+/// Opens a call to the endpoint's agent and sends the request.
 async fn open(
     entry: &Arc<Inner>,
     req: &Inbound,
@@ -236,7 +236,7 @@
 }
 
 impl Call {
-    /// Returns the next message; `None` if the agent ended the call.
+    /// Waits for the next message; `None` if the agent ended the call.
     pub async fn next(&mut self) -> Option<Result<dispatch_down::Kind, Status>> {
         std::future::poll_fn(|cx| self.poll_next(cx)).await
     }
@@ -255,19 +255,19 @@
         })
     }
 
-    /// Name of the endpoint that is asked.
+    /// Returns the name of the endpoint.
     pub fn peer(&self) -> &str {
         &self.endpoint.name
     }
 
-    /// Allows the agent to send `units` more.
+    /// Grants the agent `units` more units of credit.
     pub fn grant(&self, units: u32) {
         let credit = dispatch_up::Kind::Credit(Credit { units });
-        // A call that has ended needs no credit.
+        // The send fails only if the call has ended, and then no credit is needed.
         let _ = self.up.try_send(DispatchUp { kind: Some(credit) });
     }
 
-    /// Takes in what the agent said of its endpoint.
+    /// Records the agent's load report of its endpoint.
     pub fn learn(&self, hint: Option<Hint>) {
         if let Some(hint) = hint {
             let name = &self.endpoint.name;
--- a/crates/larkspring/src/entry/inbound.rs
+++ b/crates/larkspring/src/entry/inbound.rs
@@ -1,4 +1,4 @@
-//! A caller's request, read and checked.
+//! Reading and checking a caller's request.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -14,13 +14,13 @@
 use super::Inner;
 use crate::telemetry::TraceParent;
 
-/// Header with the key of a request, the same for each resend.
+/// Header with the idempotency key of a request, the same for each retry.
 const KEY: &str = "idempotency-key";
-/// Header with the time that the caller waits at most, in milliseconds.
+/// Header with the longest time that the caller waits, in milliseconds.
 const DEADLINE: &str = "larkspring-deadline-ms";
-/// Header with the urgency, 0 to 9.
+/// Header with the priority, from 0 (most urgent) to 9.
 const PRIORITY: &str = "larkspring-priority";
-/// Header that says `no` where the request runs at most once.
+/// Header with the value `no` if the request may run at most once.
 const REPEATABLE: &str = "larkspring-repeatable";
 
 const LEAST_URGENT: u32 = 9;
@@ -29,38 +29,38 @@
 /// A request that may be dispatched.
 #[derive(Debug, Clone)]
 pub struct Inbound {
-    /// Who sent it.
+    /// The authenticated caller.
     pub caller: Arc<Caller>,
-    /// What it goes to.
+    /// The destination.
     pub to: To,
-    /// When its caller gives up.
+    /// Time at which the caller stops waiting.
     pub deadline: Instant,
-    /// 0 is the most urgent.
+    /// The priority; 0 is the most urgent.
     pub priority: u32,
-    /// Key given by the caller.
+    /// The idempotency key, if the caller sent one.
     pub key: Option<String>,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
     /// Body for the endpoint.
     pub body: Bytes,
-    /// Type of the body.
+    /// Content type of the body.
     pub content_type: String,
-    /// Tokens asked for; 0 if the request does not say.
+    /// Maximum number of tokens to generate; 0 if the request sets none.
     pub max_tokens: u32,
-    /// Place in the caller's trace.
+    /// Trace context of this hop.
     pub trace: TraceParent,
 }
 
-/// What a request goes to.
+/// The destination of a request.
 #[derive(Debug, Clone)]
 pub enum To {
-    /// An adapter of a model engine, by the engine's HTTP path.
+    /// An adapter on a model engine; `path` is the engine's HTTP path.
     Model { target: Target, base: BaseId, path: &'static str },
-    /// A call of a plain service; `path` holds the query too.
+    /// A call of a plain service; `path` includes the query.
     Service { service: String, method: Method, path: String },
 }
 
-/// The part of a completion request that larkspring reads; the rest passes through.
+/// The fields of a completion request that the entry reads; `rest` is passed on unchanged.
 #[derive(Debug, Deserialize, Serialize)]
 struct Completion {
     model: String,
@@ -113,7 +113,7 @@
         Ok(inbound)
     }
 
-    /// Returns the name of what the request goes to, for logs.
+    /// Returns the name of the destination, for logs and the request fingerprint.
     pub fn target_name(&self) -> String {
         match &self.to {
             To::Model { target, .. } => target.to_string(),
@@ -167,7 +167,7 @@
     }
 }
 
-/// Reads the priority; no caller gets one more urgent than declared for it.
+/// Reads the priority, limited to the most urgent that is declared for the caller.
 fn priority(req: &Request, caller: &Caller) -> Result<u32, Refusal> {
     let Some(value) = header(req, PRIORITY) else { return Ok(caller.priority) };
     match value.parse::<u32>() {
--- a/crates/larkspring/src/entry/keys/handover.rs
+++ b/crates/larkspring/src/entry/keys/handover.rs
@@ -1,4 +1,4 @@
-//! A planned stop: what this entry knows of its keys goes to other holders.
+//! Handover of partitions and their claims to other entries at a graceful shutdown.
 
 use std::sync::atomic::Ordering;
 
@@ -11,14 +11,14 @@
 
 use super::{timed, Keys};
 
-/// Tries to write the table.
+/// Attempts to write the table.
 const TRIES: u32 = 5;
 
 impl Keys {
-    /// Gives all partitions to other holders, with what is known of their keys.
+    /// Hands over all partitions, with their claims, to other holders.
     ///
-    /// From its beginning on this run grants nothing more. A partition that can't be
-    /// given away is taken over as after a death.
+    /// From the start of the handover this run grants no more keys. A partition that cannot
+    /// be handed over is taken over in the same way as after a crash.
     pub async fn give_away(&self) {
         self.closing.store(true, Ordering::Release);
         let mut heirs = Vec::new();
@@ -34,14 +34,14 @@
         let given = heirs.len();
         for _ in 0..TRIES {
             if self.write_heirs(&heirs).await {
-                tracing::info!(given, "partitions were given away");
+                tracing::info!(given, "key partitions handed over");
                 return;
             }
         }
-        tracing::warn!("the partitions could not be given away");
+        tracing::warn!("key partitions not handed over: the table could not be written");
     }
 
-    /// Takes in what another holder knows.
+    /// Imports the claims of a partition from its previous holder.
     pub(super) fn inherit(&self, req: HandoverRequest) -> Result<HandoverReply, Status> {
         let partition = req.partition as usize;
         let place = self.claims.get(partition);
@@ -52,7 +52,7 @@
         Ok(HandoverReply { run: self.me.run, vm: self.me.vm.clone() })
     }
 
-    /// Tells another holder what is known of a partition; returns who it is.
+    /// Sends the claims of a partition to another entry; returns the new holder.
     async fn tell_heir(&self, partition: usize) -> Option<Tenure> {
         let mut holders = self.hello().table?.partitions;
         holders.retain(|t| !t.holder.is_empty() && t.holder != self.me.holder);
@@ -73,7 +73,7 @@
         Some(Tenure { run: reply.run, vm: reply.vm, ..heir })
     }
 
-    /// Writes the heirs into the table; false if it changed meanwhile.
+    /// Writes the new holders into the table; false if the table was changed concurrently.
     async fn write_heirs(&self, heirs: &[(usize, Tenure)]) -> bool {
         let (version, mut table) = self.known_table();
         let mut left = false;
@@ -84,7 +84,7 @@
                 left = true;
             }
         }
-        // A write whose reply was lost shows as nothing left to do.
+        // After a write whose reply was lost, no partition is left to hand over.
         !left || (self.write(version, table).await.is_ok() && self.held() == 0)
     }
 }
--- a/crates/larkspring/src/entry/keys/mod.rs
+++ b/crates/larkspring/src/entry/keys/mod.rs
@@ -1,5 +1,5 @@
-//! Keys of requests that run at most once: asking the holder of a key's partition, and
-//! answering for the partitions that this entry holds.
+//! Idempotency keys of requests that run at most once: claims at the holder of a key's
+//! partition, and decisions for the partitions that this entry holds.
 
 mod handover;
 mod rpc;
@@ -32,63 +32,63 @@
 use crate::rpc::channel::{Channel, Pool};
 use crate::settings::{EntryCfg, Settings};
 
-/// The keys' side of an entry.
+/// The idempotency keys of an entry: the partitions it holds, and access to the others.
 pub struct Keys {
-    /// This run, as it stands in the table.
+    /// This run, as written in the table.
     me: Tenure,
     terms: Terms,
-    /// Partitions that this entry takes at most.
+    /// Maximum number of partitions that this entry takes.
     most: usize,
     view: Mutex<View>,
     changed: Event,
-    /// One table of claims for each partition, under its own lock.
+    /// The claims of each partition, each under a separate lock.
     claims: Vec<Mutex<Claims<KeptAnswer>>>,
     api: HttpObjects,
     pool: Pool,
-    /// Other entries, by the settings.
+    /// Addresses of other entries, from the settings.
     peers: Vec<String>,
-    /// Whether this run gives its partitions away and grants nothing more.
+    /// Whether this run hands over its partitions and grants no more keys.
     closing: AtomicBool,
 }
 
-/// A key that is to be claimed.
+/// A request to claim a key.
 #[derive(Debug, Clone)]
 pub struct KeyAsk {
     /// Partition of the key.
     pub partition: usize,
-    /// Birth of the key; 0 if it has none.
+    /// Creation time of the key; 0 if the key carries none.
     pub birth: Millis,
-    /// The claim itself.
+    /// The claim.
     pub ask: Ask,
 }
 
-/// Answer to a try to claim a key.
+/// Reply to a request to claim a key.
 #[derive(Debug, Clone)]
 pub struct Answered {
-    /// What is known of the key.
+    /// The decision on the key.
     pub verdict: Verdict,
-    /// When to ask again.
+    /// Time after which a retry makes sense.
     pub retry_after: Option<Duration>,
-    /// The kept answer of a request that ran.
+    /// The kept answer, if the request already ran.
     pub answer: Option<KeptAnswer>,
 }
 
-/// Its holder does the work that one entry does for all.
+/// Partition whose holder is the leader: it grants loads on behalf of all entries.
 pub const LEADING_PARTITION: usize = 0;
-/// Keys that one entry keeps at most; about 100 bytes each.
+/// Maximum number of keys kept by one entry; a key takes about 100 bytes.
 const MAX_KEYS: usize = 100_000;
-/// Time for a call to another entry.
+/// Limit on the time that a call to another entry takes.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Connections to other entries.
+/// Maximum number of connections to other entries.
 const MAX_CONNECTIONS: usize = PARTITIONS;
-/// Tries to reach the holder of a key.
+/// Attempts to reach the holder of a key.
 const CLAIM_TRIES: u32 = 3;
 const SETTLE_TRIES: u32 = 3;
-/// When to ask again where the holder could not be asked.
+/// Retry delay sent when the holder of a key could not be reached.
 const CLAIM_RETRY: Duration = Duration::from_secs(1);
 
 impl Keys {
-    /// Creates the keys' side of an entry that other entries reach at `addr`.
+    /// Creates the key state of an entry that other entries reach at `addr`.
     pub fn new(cfg: &EntryCfg, settings: &Settings, addr: SocketAddr) -> Self {
         let limits = ClaimLimits {
             retention: cfg.terms.retention,
@@ -116,20 +116,20 @@
         }
     }
 
-    /// Number of partitions that this entry holds.
+    /// Returns the number of partitions that this entry holds.
     pub fn held(&self) -> usize {
         let view = self.view.lock();
         view.table.partitions.iter().filter(|t| same_run(t, &self.me)).count()
     }
 
-    /// Whether this entry holds the first partition, and with it the work that one
-    /// entry does for all.
+    /// Whether this entry leads: it holds the first partition under a lease that has not
+    /// expired.
     pub fn leads(&self) -> bool {
         let first = self.holder(LEADING_PARTITION);
         first.is_some_and(|t| same_run(&t, &self.me) && wall_clock() < t.until_ms)
     }
 
-    /// Asks the holder of a key whether its request may run.
+    /// Claims a key at the holder of its partition.
     pub async fn claim(&self, key: &KeyAsk) -> Result<Answered, Refusal> {
         let mut cause = String::new();
         for _ in 0..CLAIM_TRIES {
@@ -154,7 +154,7 @@
         Err(Refusal::unknown(Step::Claim, text).retry_after(CLAIM_RETRY))
     }
 
-    /// Tells the holder of a granted key how its request ended.
+    /// Reports to the holder of a granted key how the request ended.
     pub async fn settle(
         &self,
         key: &KeyAsk,
@@ -178,11 +178,11 @@
                 return;
             }
         }
-        // The holder counts the attempt as unclear once its deadline has passed.
-        tracing::warn!("a claim could not be settled");
+        // The holder treats the attempt as unknown once the attempt's deadline has passed.
+        tracing::warn!("claim not settled: the holder of the key did not answer");
     }
 
-    /// Answers for a key of a partition that this run may hold.
+    /// Decides on a claim, if this run holds the key's partition.
     fn decide(&self, run: u64, key: KeyAsk) -> Answered {
         let now = wall_clock();
         let foreign = Answered::new(Verdict::Foreign);
@@ -191,7 +191,7 @@
             return foreign;
         }
         let mut claims = self.claims[key.partition].lock();
-        // Under the lock, so that what is handed over holds each granted claim.
+        // Checked under the lock, so that a handover includes every granted claim.
         if self.closing.load(Ordering::Acquire) {
             return foreign;
         }
@@ -221,7 +221,7 @@
         claims.settle(key.ask.key, &key.ask.attempt, settled, answer);
     }
 
-    /// Returns the present tenure of a partition, if any run ever held it.
+    /// Returns the current tenure of a partition; `None` if no run ever held the partition.
     fn holder(&self, partition: usize) -> Option<Tenure> {
         let view = self.view.lock();
         let tenure = view.table.partitions.get(partition)?;
@@ -271,7 +271,7 @@
 }
 
 impl KeyAsk {
-    /// Creates the claim of a caller's key for a request with body hash `request`.
+    /// Creates a claim of a caller's key for a request with the fingerprint `request`.
     pub fn new(
         caller: &str,
         key: &str,
@@ -296,24 +296,24 @@
 }
 
 fn key_hash(caller: &str, key: &str) -> ClaimKey {
-    // A caller's name has no newline, so that no two pairs make the same text.
+    // A caller's name contains no newline, so two different pairs never give the same text.
     xxhash_rust::xxh3::xxh3_128(format!("{caller}\n{key}").as_bytes())
 }
 
-/// Returns the birth that a UUID of version 7 carries; 0 for any other key.
+/// Returns the creation time in a UUID of version 7; 0 for any other key.
 fn birth(key: &str) -> Millis {
     let uuid = Uuid::parse_str(key).ok().filter(|id| id.get_version_num() == 7);
     let time = uuid.and_then(|id| id.get_timestamp()).map(|t| t.to_unix());
     time.map_or(0, |(secs, nanos)| secs * 1000 + u64::from(nanos) / 1_000_000)
 }
 
-/// Returns the present time as births count it.
+/// Returns the current Unix time in milliseconds.
 fn wall_clock() -> Millis {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, millis)
 }
 
-/// Waits for a call to another entry, for a limited time.
+/// Waits for a call to another entry, at most [`CALL_TIMEOUT`].
 async fn timed<T>(
     call: impl std::future::Future<Output = Result<tonic::Response<T>, Status>>,
 ) -> Result<T, Status> {
--- a/crates/larkspring/src/entry/keys/rpc.rs
+++ b/crates/larkspring/src/entry/keys/rpc.rs
@@ -1,4 +1,4 @@
-//! The serving side of the keys, for other entries.
+//! RPC service of the idempotency keys, for other entries.
 
 use std::sync::Arc;
 
@@ -13,9 +13,9 @@
 
 use super::{wall_clock, KeyAsk, Keys};
 
-/// Serves the keys of an entry to others.
+/// Serves an entry's keys to other entries.
 pub struct Service {
-    /// The keys' side of the entry.
+    /// The keys of the entry.
     pub keys: Arc<Keys>,
 }
 
--- a/crates/larkspring/src/entry/keys/table.rs
+++ b/crates/larkspring/src/entry/keys/table.rs
@@ -1,4 +1,4 @@
-//! The table that says who holds each partition, kept as one object.
+//! The table of partition holders, stored as one object.
 
 use std::collections::HashSet;
 use std::sync::atomic::Ordering;
@@ -14,43 +14,44 @@
 use crate::platform::objects::{Object, ObjectApi, ObjectVersion};
 use crate::platform::PlatformError;
 
-/// What this entry knows of the table, by reads and by writes that surely succeeded.
+/// The latest version of the table known from reads and from confirmed writes.
 #[derive(Debug, Default)]
 pub struct View {
     version: ObjectVersion,
     pub(super) table: KeyTable,
-    /// Runs that did not answer.
+    /// Runs that did not answer, or are to be checked.
     suspects: HashSet<(String, RunId)>,
-    /// Runs that were proved to have ended.
+    /// Runs that are known to have ended.
     ended: HashSet<(String, RunId)>,
 }
 
-/// Looks at the table in the time of one lease, at least.
+/// Minimum number of reads of the table during one lease.
 const LOOKS_A_LEASE: u32 = 16;
 /// Name of the object that holds the table.
 pub const TABLE: &str = "keys/table";
-/// Pause between two looks at the table.
+/// Pause between two maintenance steps.
 const TICK: Duration = Duration::from_millis(200);
-/// Pause while the object API fails.
+/// Pause after a failure of the object API.
 const FAILURE_PAUSE: Duration = Duration::from_secs(1);
-/// Time between two looks at the table of an entry that holds partitions; a watch would
-/// return at each renewal of any holder.
+/// Interval between reads of the table by an entry that holds partitions. The table is
+/// polled because a watch would return at each renewal of any holder.
 const HOLDER_INTERVAL: Duration = Duration::from_secs(5);
-/// The same of an entry that holds none; it looks at once where a key needs it.
+/// Interval between reads of the table by an entry that holds no partition; such an entry
+/// also reads the table whenever a key needs it.
 const OTHER_INTERVAL: Duration = Duration::from_secs(60);
-/// Other entries that are asked for their table at a time.
+/// Number of other entries asked for their table in one refresh.
 const ASKED_AT_A_TIME: usize = 3;
-/// Free partitions taken at a time, so that entries that start together share them.
+/// Free partitions taken in one write, so that entries that start together share them.
 const TAKEN_AT_A_TIME: usize = 8;
 
 impl Keys {
-    /// Follows the table for ever; takes over and renews partitions.
+    /// Follows the table, renews held partitions and takes over others; never returns.
     pub async fn maintain(self: Arc<Self>) {
         loop {
             let pause = match self.step().await {
                 Ok(()) => TICK,
                 Err(e) => {
-                    tracing::warn!(error = %e, "the keys' table can't be followed");
+                    tracing::warn!(error = %e, "key table not updated: object API call failed");
                     FAILURE_PAUSE
                 }
             };
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Gets a newer table now: from the API, or in its outage from other entries.
+    /// Reads the table now: from the object API, or from other entries if that fails.
     pub(super) async fn refresh(&self) {
         match self.api.get(TABLE).await {
             Ok(object) => drop(self.take_in(object)),
@@ -69,7 +70,7 @@
         Timer::after(TICK).await;
     }
 
-    /// Returns this run, and the table that it surely knows.
+    /// Returns the id of this run and the latest known table.
     pub(super) fn hello(&self) -> HelloReply {
         let view = self.view.lock();
         HelloReply {
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Takes in the tables that other holders know.
+    /// Adopts newer tables known to other holders.
     async fn ask_others(&self) {
         let mut holders = self.other_holders();
         fastrand::shuffle(&mut holders);
@@ -91,11 +92,11 @@
         }
     }
 
-    /// Tells the other holders of partitions that this run took.
+    /// Notifies the other holders of the partitions that this run took.
     ///
-    /// They look at the table every few seconds only, and could not look at all if the
-    /// object API failed before that; a key of a partition whose holder they do not know
-    /// would be refused as unclear until it is back.
+    /// They read the table only every few seconds, and cannot read the table at all while
+    /// the object API is unavailable. Until then, a key of a partition whose holder they do
+    /// not know would be refused as unknown.
     fn tell_others(self: &Arc<Self>) {
         for holder in self.other_holders() {
             let keys = self.clone();
@@ -107,7 +108,7 @@
                     Err(e) => Err(e),
                 };
                 if let Err(e) = told {
-                    // It finds out by its next look at the table.
+                    // The holder learns of the change by its next read of the table.
                     tracing::info!(event = "table not told", holder = holder.holder, error = %e);
                 }
             };
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Other runs that hold partitions, each once.
+    /// Returns the other runs that hold partitions, each once.
     fn other_holders(&self) -> Vec<Tenure> {
         let mut holders = self.view.lock().table.partitions.clone();
         holders.retain(|t| !t.holder.is_empty() && !same_run(t, &self.me));
@@ -124,7 +125,7 @@
         holders
     }
 
-    /// Makes a table the known one, unless a newer one is known already.
+    /// Adopts a table if its version is newer than the known one.
     pub(super) fn adopt(&self, version: ObjectVersion, table: KeyTable) {
         let mut view = self.view.lock();
         if view.version < version {
@@ -133,14 +134,14 @@
         }
     }
 
-    /// Notes that a run did not answer.
+    /// Records that a run did not answer.
     pub(super) fn suspect(&self, holder: &Tenure) {
         let run = (holder.holder.clone(), holder.run);
         self.view.lock().suspects.insert(run);
         self.changed.notify(usize::MAX);
     }
 
-    /// Changes the table if there is reason to, else waits for a change.
+    /// Updates the table if a partition can be renewed or taken; otherwise waits.
     async fn step(self: &Arc<Self>) -> Result<(), PlatformError> {
         let seen = self.view.lock().version;
         if seen == 0 {
@@ -160,14 +161,14 @@
         Ok(())
     }
 
-    /// Waits until it is time to look at the table again, or a run is suspected.
+    /// Waits for the next interval or a suspected run, then reads the table.
     async fn wait(&self) -> Result<(), PlatformError> {
         use futures_lite::FutureExt;
         let interval = match self.held() {
             0 => OTHER_INTERVAL,
             _ => HOLDER_INTERVAL,
         };
-        // A lease may be shorter than the usual time between two looks.
+        // With a short lease the usual interval would be too long.
         let interval = interval.min(self.terms.lease / LOOKS_A_LEASE);
         let suspicion = async {
             self.changed.listen().await;
@@ -184,7 +185,7 @@
         self.take_in(object)
     }
 
-    /// Notes some holder as one to look at, so that an end is found without requests.
+    /// Marks a random holder for a check, so that ended runs are found without requests.
     fn suspect_any(&self) {
         let mut view = self.view.lock();
         let place = fastrand::usize(..PARTITIONS);
@@ -200,7 +201,7 @@
         (view.version, view.table.clone())
     }
 
-    /// Writes the table; the view changes only if that surely succeeded.
+    /// Writes the table; the view changes only if the write is confirmed.
     pub(super) async fn write(
         &self,
         version: ObjectVersion,
@@ -228,7 +229,8 @@
         Ok(())
     }
 
-    /// Returns the table with what this run may renew or take, if there is anything.
+    /// Returns the table with the partitions that this run renews or takes; `None` if there
+    /// are none.
     fn next_table(&self, view: &View) -> Option<KeyTable> {
         if self.closing.load(Ordering::Acquire) {
             return None;
@@ -264,9 +266,9 @@
         (changed || taken > 0).then_some(next)
     }
 
-    /// Says what is known of the run that holds a partition.
+    /// Returns whether the run that holds a partition is known to have ended.
     fn state_of(&self, view: &View, t: &Tenure) -> Holder {
-        // Whoever listens at an address is the only run there.
+        // Only one run can listen at an address.
         let replaced = t.holder == self.me.holder && t.run != self.me.run;
         let ended = view.ended.contains(&(t.holder.clone(), t.run));
         match replaced || ended {
@@ -275,7 +277,7 @@
         }
     }
 
-    /// Asks the suspects which run they are; another run proves the end of the old one.
+    /// Asks each suspect for its run id; a different id proves that the old run has ended.
     async fn prove_ends(&self) {
         let suspects = std::mem::take(&mut self.view.lock().suspects);
         for (addr, run) in suspects {
--- a/crates/larkspring/src/entry/limits.rs
+++ b/crates/larkspring/src/entry/limits.rs
@@ -1,4 +1,4 @@
-//! Limits on the requests in progress, in all and for each caller.
+//! Limits on the requests in progress, in total and for each caller.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -11,7 +11,7 @@
 use larkspring_core::outcome::{Refusal, Step};
 use parking_lot::Mutex;
 
-/// Counts requests in progress.
+/// Counts and limits the requests in progress.
 #[derive(Debug)]
 pub struct CallerLimits {
     max: usize,
@@ -19,7 +19,7 @@
     counts: Arc<Counts>,
 }
 
-/// A request in progress; dropped when it ends.
+/// A slot for a request in progress, released when dropped.
 #[derive(Debug)]
 pub struct Permit {
     counts: Arc<Counts>,
@@ -36,12 +36,12 @@
 const RETRY: Duration = Duration::from_secs(1);
 
 impl CallerLimits {
-    /// Creates limits with nothing in progress.
+    /// Creates limits with no requests in progress.
     pub fn new(max: usize, max_per_caller: usize) -> Self {
         Self { max, max_per_caller, counts: Arc::default() }
     }
 
-    /// Counts a request in, or refuses it.
+    /// Takes a slot for a request, or refuses the request if a limit is reached.
     pub fn enter(&self, caller: &Caller) -> Result<Permit, Refusal> {
         let refuse = |text| Refusal::not_run(Step::Admit, text).retry_after(RETRY);
         if self.counts.all.load(Ordering::Relaxed) >= self.max {
--- a/crates/larkspring/src/entry/loads.rs
+++ b/crates/larkspring/src/entry/loads.rs
@@ -1,4 +1,4 @@
-//! Giving out the weight store's budget to the agents.
+//! Grants of the weight store's load budget to agents.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 use super::keys::Keys;
 use crate::exec::within;
 
-/// The budget, and the agents that wait for a part of it.
+/// The load budget, and the agents that wait for a permit.
 pub struct Loads {
     state: Mutex<State>,
     changed: Event,
@@ -28,25 +28,25 @@
     waiting: HashMap<LoadId, Sender<()>>,
 }
 
-/// Serves the budget to agents, if this entry is the one that grants.
+/// Serves load permits to agents, if this entry leads.
 pub struct Service {
     /// The budget.
     pub loads: Arc<Loads>,
-    /// Says who grants.
+    /// Decides whether this entry leads.
     pub keys: Arc<Keys>,
 }
 
-/// Longest time that a call for a permit waits.
+/// Maximum time that a call for a permit waits.
 const LONGEST_WAIT: Duration = Duration::from_secs(10);
 
 impl Loads {
-    /// Creates a budget of which nothing is in use.
+    /// Creates an unused budget.
     pub fn new(limits: BudgetLimits) -> Self {
         let state = State { budget: Budget::new(limits), waiting: HashMap::new() };
         Self { state: Mutex::new(state), changed: Event::new() }
     }
 
-    /// Grants loads as the budget allows, for ever.
+    /// Grants loads as the budget allows; never returns.
     pub async fn run(self: Arc<Self>) {
         loop {
             let listener = self.changed.listen();
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Grants what may begin now; returns when to look again.
+    /// Grants the loads that may begin now; returns when the next grant may be possible.
     fn grant(&self) -> Option<Instant> {
         let now = Instant::now();
         let mut state = self.state.lock();
@@ -92,7 +92,7 @@
     }
 }
 
-/// Takes a load back from the queue when its call ends, as by the agent's death.
+/// Withdraws a load from the queue when its call ends, for example because the agent crashed.
 struct Waiter<'a> {
     loads: &'a Loads,
     load: LoadId,
--- a/crates/larkspring/src/entry/mod.rs
+++ b/crates/larkspring/src/entry/mod.rs
@@ -1,7 +1,8 @@
 //! The entry: the process that callers reach.
 //!
-//! All entries are alike. Each checks a request, chooses an endpoint on what it has
-//! learned, and relays the answer; the endpoint's agent has the last word.
+//! All entries are alike. Each checks a request, chooses an endpoint by its replicated
+//! state and by the load reports of agents, and relays the answer. The endpoint's agent
+//! decides whether the request runs.
 
 mod answer;
 mod dispatch;
@@ -59,16 +60,16 @@
 /// A running entry.
 #[derive(Debug)]
 pub struct Entry {
-    /// The address that it listens on.
+    /// The address on which callers are served.
     pub addr: SocketAddr,
-    /// The address that it listens on for operators, if it does.
+    /// The address on which operators are served, if the settings name an address.
     pub operator_addr: Option<SocketAddr>,
     inner: Arc<Inner>,
     _stopper: rpc::serve::Stopper,
     _tasks: Vec<Task<()>>,
 }
 
-/// The services that an entry offers to other processes, by their paths.
+/// Routes calls of other processes to the services of an entry, by path.
 #[derive(Clone)]
 struct Control {
     config: ConfigServer<follow::Service>,
@@ -97,10 +98,10 @@
 
 const CONFIG_PATH: &str = "/larkspring.config.";
 const LOADS_PATH: &str = "/larkspring.loads.";
-/// Budget where the settings give no limit.
+/// Load budget used when the settings set no limit.
 const UNLIMITED: BudgetLimits = BudgetLimits { rate: 1e6, concurrency: 1_000_000 };
 
-/// State that the requests of an entry share.
+/// State shared by all requests of an entry.
 #[derive(Debug)]
 pub(crate) struct Inner {
     cfg: EntryCfg,
@@ -116,13 +117,14 @@
     stopping: AtomicBool,
 }
 
-/// Time for a connection to an agent to open.
+/// Limit on the time that opening a connection to an agent takes.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time that a caller's connection may wait between requests.
+/// Time after which an idle caller connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(75);
-/// Connections beyond the streams, for callers between requests.
+/// Connections allowed beyond the stream limit, for callers that are idle between requests.
 const SPARE_CONNECTIONS: usize = 1000;
-/// When to come back to an entry that stops: at once, through another one.
+/// Retry delay sent by an entry that is stopping. Short, as another entry can take the
+/// request at once.
 const STOPPING_RETRY: Duration = Duration::from_millis(100);
 
 impl Entry {
@@ -169,16 +171,17 @@
         Ok(Self { addr, operator_addr, inner, _stopper: stopper, _tasks: tasks })
     }
 
-    /// Stops as planned: new requests are refused and those in progress end.
+    /// Shuts down gracefully: refuses new requests, hands over the key partitions and waits
+    /// up to `stop_grace` for the requests in progress.
     pub async fn stop(self) {
-        tracing::info!(addr = %self.addr, "entry stops");
+        tracing::info!(addr = %self.addr, "entry is stopping");
         self.inner.stopping.store(true, Ordering::Release);
         self.inner.keys.give_away().await;
         exec::within(self.inner.cfg.stop_grace, self.inner.limits.idle()).await;
     }
 }
 
-/// Serves the operators' API in the background.
+/// Starts serving the operator API in the background.
 async fn serve_operators(
     addr: SocketAddr,
     entry: &Arc<Inner>,
@@ -229,7 +232,7 @@
         }
     }
 
-    /// Returns a number for an attempt that no other attempt has.
+    /// Returns a unique attempt id.
     fn attempt_id(&self) -> String {
         format!("{}-{}", self.name, self.next.fetch_add(1, Ordering::Relaxed))
     }
@@ -275,7 +278,7 @@
         Ok(res)
     }
 
-    /// Serves a request whose key was granted; it goes on if its caller hangs up.
+    /// Serves a request whose key was granted. The request continues if its caller hangs up.
     async fn serve_once(
         self: &Arc<Self>,
         inbound: Inbound,
@@ -367,7 +370,7 @@
     }
 }
 
-/// Waits for a task that goes on if nobody waits for it any more.
+/// Waits for a task, and detaches the task instead of cancelling it when dropped.
 struct Detached<T>(Option<Task<T>>);
 
 impl<T> Future for Detached<T> {
@@ -389,7 +392,7 @@
     }
 }
 
-/// Builds an answer with a JSON body.
+/// Builds a response with a JSON body.
 fn json_answer(status: u16, value: &serde_json::Value) -> Response {
     let mut res = Response::new(status);
     res.set_body(Body::from_string(value.to_string()));
--- a/crates/larkspring/src/entry/once.rs
+++ b/crates/larkspring/src/entry/once.rs
@@ -1,4 +1,5 @@
-//! One request that runs at most once: its claim, and what is settled at its end.
+//! Requests that run at most once: the claim of the idempotency key, and its settlement when
+//! the request ends.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -15,36 +16,36 @@
 use super::keys::{Answered, KeyAsk, Keys};
 use crate::exec;
 
-/// The right to run a request; settled when the request ends.
+/// The right to run a request, settled when the request ends.
 #[derive(Debug)]
 pub struct Claim {
     keys: Arc<Keys>,
     key: KeyAsk,
     status: u32,
     content_type: String,
-    /// The answer so far; `None` once it is too long to be kept.
+    /// The body received so far; `None` once it exceeds [`MAX_KEPT`].
     body: Option<BytesMut>,
     settled: bool,
 }
 
-/// What a claim came to.
+/// The result of claiming a key.
 pub enum Claimed {
     /// The request needs no claim.
     Free,
     /// The request may run.
     Granted(Claim),
-    /// It has run; this is its answer.
+    /// The request has already run; the kept answer is replayed.
     Replay(KeptAnswer),
 }
 
-/// Bytes of the longest answer that is kept.
+/// Maximum size of a kept answer, in bytes.
 const MAX_KEPT: usize = 64 * 1024;
-/// Header that marks the kept answer of an earlier attempt.
+/// Header that marks a replayed answer of an earlier attempt.
 const REPLAYED: &str = "larkspring-replayed";
-/// When to ask again for a request that runs.
+/// Retry delay sent while another attempt at the same key is running.
 const RUNNING_RETRY: Duration = Duration::from_secs(1);
 
-/// Claims the key of a request that has one and may not be repeated.
+/// Claims the key of a request that has a key and may not be repeated.
 pub async fn claim(
     keys: &Arc<Keys>,
     req: &Inbound,
@@ -70,7 +71,7 @@
     refuse_or_replay(answered)
 }
 
-/// Builds the response that repeats a kept answer.
+/// Builds the response that replays a kept answer.
 pub fn replay(answer: KeptAnswer) -> Response {
     let mut res = Response::new(answer.status as u16);
     res.set_body(answer.body.to_vec());
@@ -108,13 +109,13 @@
 }
 
 impl Claim {
-    /// Notes the head of the answer.
+    /// Records the status and content type of the answer.
     pub fn begin(&mut self, status: u32, content_type: &str) {
         self.status = status;
         self.content_type = content_type.into();
     }
 
-    /// Notes a part of the answer.
+    /// Records a chunk of the answer's body.
     pub fn took(&mut self, chunk: &Bytes) {
         let fits = |body: &BytesMut| body.len() + chunk.len() <= MAX_KEPT;
         match self.body.as_mut().filter(|body| fits(body)) {
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Settles a request that ended without an answer.
+    /// Settles a request that was refused.
     pub async fn refused(mut self, refusal: &Refusal) {
         let settled = match refusal.outcome {
             Outcome::NotRun => Settled::NotRun,
@@ -133,7 +134,7 @@
         self.keys.settle(&self.key, settled, None).await;
     }
 
-    /// Settles a request whose answer is whole.
+    /// Settles a request whose answer is complete.
     pub fn ran(mut self) {
         let answer = self.body.take().map(|body| KeptAnswer {
             status: self.status,
--- a/crates/larkspring/src/entry/operator.rs
+++ b/crates/larkspring/src/entry/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' API of an entry, on an address of its own.
+//! The operator API of an entry, served on a separate address.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 use crate::operate::{declare, plan};
 use crate::platform::objects::HttpObjects;
 
-/// Answers operators.
+/// Handles operator requests.
 pub(super) struct Operator {
     pub entry: Arc<Inner>,
     pub api: HttpObjects,
@@ -25,12 +25,12 @@
     pub key_sha256: String,
 }
 
-/// Bytes of a declaration; 49,000 adapters take about 8 MB.
+/// Maximum size of a declaration, in bytes; 49,000 adapters take about 8 MB.
 const MAX_BODY: usize = 16 * 1024 * 1024;
 const MAX_CONNECTIONS: usize = 8;
 const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Bounds of the operators' connections.
+/// Returns the limits for operator connections.
 pub(super) fn limits() -> Limits {
     Limits {
         max_body: MAX_BODY,
--- a/crates/larkspring/src/entry/refuse.rs
+++ b/crates/larkspring/src/entry/refuse.rs
@@ -1,4 +1,4 @@
-//! Answers to callers whose request has no whole answer.
+//! Error responses to callers.
 
 use http_types::Response;
 use larkspring_core::outcome::{Outcome, Refusal, Step};
@@ -7,7 +7,7 @@
 use super::json_answer;
 use crate::http::head::HeadError;
 
-/// Builds the answer for a refusal.
+/// Builds the response for a refusal.
 pub fn response(refusal: &Refusal) -> Response {
     let mut res = json_answer(status(refusal), &body(refusal));
     if let Some(after) = refusal.retry_after {
@@ -17,13 +17,13 @@
     res
 }
 
-/// Builds the answer to a request that could not be read.
+/// Builds the response to a request that could not be read.
 pub fn unreadable(error: &HeadError) -> Response {
     let refusal = Refusal::not_run(Step::Read, error.to_string());
     json_answer(error.status(), &body(&refusal))
 }
 
-/// Builds the body of a refusal, as in an answer or an event of a stream.
+/// Builds the JSON body of a refusal, for a response or an event of a stream.
 pub fn body(refusal: &Refusal) -> Value {
     let retry_after = refusal.retry_after.map(|d| d.as_millis() as u64);
     json!({ "error": {
