--- a/crates/larkspring/src/agent/backend.rs
+++ b/crates/larkspring/src/agent/backend.rs
@@ -1,4 +1,4 @@
-//! The engine or service behind an agent, by its published HTTP API.
+//! HTTP client of the engine or service behind an agent.
 
 use std::time::Duration;
 
@@ -10,15 +10,15 @@
 
 use crate::http::client::{connect, exchange, fetch, request, HttpError};
 
-/// Header with the run of the engine, on each of its answers.
+/// Header with the run of the engine, on each answer of the engine.
 pub const INCARNATION: &str = "x-engine-incarnation";
-/// Header with the exact adapter that answers.
+/// Header with the adapter and version that answers.
 pub const ADAPTER: &str = "x-engine-adapter";
-/// Header with the number of a request, by which it can be cancelled and resumed.
+/// Header with the id of a request, used to cancel and resume the request.
 pub const REQUEST: &str = "x-request-id";
-/// Header with the urgency of a request, 0 to 9.
+/// Header with the priority of a request, from 0 (most urgent) to 9.
 pub const PRIORITY: &str = "x-priority";
-/// Header with the epoch of the agent that gives an order.
+/// Header with the epoch of the agent that sends an order.
 pub const EPOCH: &str = "x-epoch";
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -30,15 +30,15 @@
     addr: String,
 }
 
-/// What an engine says of itself; it lags.
+/// An engine's report of its state, which may lag behind the state.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Report {
     /// The run of the engine.
     pub incarnation: String,
-    /// The adapters that it holds, as `adapter@version`.
+    /// The resident adapters, as `adapter@version`.
     pub resident: Vec<String>,
-    /// The requests that it runs.
+    /// The running requests.
     pub running: Vec<RunningRequest>,
 }
 
@@ -46,9 +46,9 @@
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RunningRequest {
-    /// Its number.
+    /// The id of the request.
     pub id: String,
-    /// Its adapter, as `adapter@version`.
+    /// The adapter of the request, as `adapter@version`.
     pub adapter: String,
 }
 
@@ -57,12 +57,12 @@
 pub struct AdapterOrder {
     /// The adapter, as `adapter@version`.
     pub adapter: String,
-    /// Where the weight store keeps it; empty for an unload.
+    /// Location of the weights in the weight store; empty for an unload.
     #[serde(default)]
     pub weights: String,
 }
 
-/// The answer to an order that was carried out.
+/// The answer to an order that was executed.
 #[derive(Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct OrderDone {
@@ -109,14 +109,14 @@
         request(Method::Get, &self.addr, &path)
     }
 
-    /// Asks the engine for its state.
+    /// Fetches the engine's report of its state.
     pub async fn report(&self) -> Result<Report, HttpError> {
         let req = request(Method::Get, &self.addr, "/v1/load")?;
         let (_, body) = fetch(&self.addr, req, ORDER_TIMEOUT).await?;
         self.decode(&body)
     }
 
-    /// Orders a load and waits for its end.
+    /// Orders a load and waits, up to `limit`, until it ends.
     pub async fn load(
         &self,
         target: &Target,
@@ -128,7 +128,7 @@
         self.order("/v1/load_lora_adapter", &order, epoch, limit).await
     }
 
-    /// Orders an unload and waits for its end.
+    /// Orders an unload and waits until it ends.
     pub async fn unload(
         &self,
         target: &Target,
@@ -138,7 +138,7 @@
         self.order("/v1/unload_lora_adapter", &order, epoch, ORDER_TIMEOUT).await
     }
 
-    /// Ends a request; once this succeeds the engine holds nothing more of it.
+    /// Cancels a request. After success the engine holds no state of the request.
     pub async fn cancel(&self, id: &str) -> Result<(), HttpError> {
         let path = format!("/v1/cancel/{id}");
         let req = request(Method::Post, &self.addr, &path)?;
--- a/crates/larkspring/src/agent/endpoint.rs
+++ b/crates/larkspring/src/agent/endpoint.rs
@@ -1,4 +1,4 @@
-//! State of the agent's endpoint, and the actions that follow from its changes.
+//! State of the agent's endpoint, and execution of the actions that its changes require.
 
 use std::collections::HashMap;
 use std::fmt::{self, Debug, Formatter};
@@ -32,41 +32,41 @@
     next: AtomicU64,
     changed: Event,
     stopping: AtomicBool,
-    /// VM that it runs on.
+    /// VM of the endpoint.
     vm: String,
-    /// Its engine or service.
+    /// Client of the engine or service.
     pub backend: Backend,
-    /// The declared state in force here.
+    /// The declared state in force in this process.
     pub in_force: Arc<InForce>,
-    /// Where metrics go.
+    /// Metrics of this process.
     pub metrics: Metrics,
-    /// Its epoch.
+    /// The endpoint's epoch.
     pub fence: Fence,
     gate: Gate,
 }
 
-/// Whether a request that waited may run.
+/// Whether a waiting request may run.
 type Verdict = Result<(), Refusal>;
 
-/// A request's place in the queue and later in the engine.
+/// A request's place in the queue and then in the engine, released when dropped.
 pub struct Place {
     endpoint: Arc<Endpoint>,
-    /// Its number.
+    /// The id of the request at this agent.
     pub id: AttemptId,
     verdict: Receiver<Verdict>,
-    /// Whether its adapter was resident when it came.
+    /// Whether the request's adapter was resident when the request arrived.
     pub resident: bool,
-    /// Whether the engine may still hold something of the request.
+    /// Whether the engine may hold state of the request.
     in_engine: bool,
 }
 
-/// Pause after an order that was not given.
+/// Pause after an order that could not be sent.
 const ORDER_PAUSE: Duration = Duration::from_secs(1);
-/// How often an engine is asked to end a request until it confirms.
+/// Interval between cancel calls for a request until the engine confirms.
 const CANCEL_INTERVAL: Duration = Duration::from_millis(200);
 
 impl Endpoint {
-    /// Creates the state of an endpoint of which nothing is known yet.
+    /// Creates the state of an endpoint before the first report.
     pub fn new(
         cfg: AgentCfg,
         vm: &str,
@@ -91,17 +91,17 @@
         }
     }
 
-    /// Its name.
+    /// Returns the name of the endpoint.
     pub fn name(&self) -> &str {
         &self.cfg.endpoint
     }
 
-    /// Its settings.
+    /// Returns the agent's settings.
     pub fn cfg(&self) -> &AgentCfg {
         &self.cfg
     }
 
-    /// The plain service that it serves, if it is one.
+    /// Returns the name of the plain service; `None` if the endpoint is an engine.
     pub fn service(&self) -> Option<Arc<str>> {
         let state = self.in_force.state();
         match &state.endpoint(self.name())?.serves {
@@ -110,20 +110,20 @@
         }
     }
 
-    /// Whether this agent may give orders now: an engine that checks epochs decides
-    /// itself, for any other the epoch is read again.
+    /// Whether this agent may send orders now. An engine that checks epochs rejects stale
+    /// orders itself; for any other endpoint the epoch is read again.
     async fn may_order(&self) -> bool {
         let state = self.in_force.state();
         let checks = state.endpoint(self.name()).is_some_and(|e| e.checks_fences);
         checks || self.fence.is_held().await
     }
 
-    /// Returns the number by which the engine knows a request of this agent.
+    /// Returns the id that the engine uses for a request of this agent.
     pub fn request_id(&self, id: AttemptId) -> String {
         format!("{}-{}-{id}", self.name(), self.fence.epoch())
     }
 
-    /// Asks for a place; the request waits until [`Place::granted`].
+    /// Queues a request, which waits until [`Place::granted`].
     pub fn enter(self: &Arc<Self>, req: Waiting) -> Result<Place, Refusal> {
         let id = self.next.fetch_add(1, Ordering::Relaxed);
         let (tx, verdict) = bounded(1);
@@ -136,7 +136,7 @@
         Ok(Place { endpoint: self.clone(), id, verdict, resident, in_engine: false })
     }
 
-    /// Carries out what follows from the present state.
+    /// Executes the actions that the scheduler returns for the current state.
     pub fn drive(self: &Arc<Self>) {
         let actions = self.slots.lock().schedule(Instant::now());
         for action in actions {
@@ -152,7 +152,7 @@
         self.changed.notify(usize::MAX);
     }
 
-    /// Takes in a report of the engine.
+    /// Applies a report of the engine.
     pub fn reported(self: &Arc<Self>, report: &Report) {
         let own = format!("{}-{}-", self.name(), self.fence.epoch());
         let foreign = |name: &str| {
@@ -169,36 +169,36 @@
         self.drive();
     }
 
-    /// Takes in that the engine could not be reached.
+    /// Records that the engine could not be reached.
     pub fn unreachable(self: &Arc<Self>) {
         self.slots.lock().engine_lost();
         self.drive();
     }
 
-    /// Takes in that the engine does not hold an adapter.
+    /// Records that an adapter is not resident in the engine.
     pub fn lost(self: &Arc<Self>, target: &Target) {
         self.slots.lock().lost(target);
         self.drive();
     }
 
-    /// The run of the engine, once known.
+    /// Returns the run of the engine; `None` if unknown.
     pub fn incarnation(&self) -> Option<Incarnation> {
         self.slots.lock().incarnation().cloned()
     }
 
-    /// Takes no more requests, as the agent stops.
+    /// Refuses new requests from now on, as the agent is stopping.
     pub fn stop(self: &Arc<Self>) {
         self.stopping.store(true, Ordering::Release);
         self.follow_leaving();
     }
 
-    /// Takes requests or not, by what is declared and what the VM list shows.
+    /// Starts or stops draining by the agent's state, the declared state and the VM list.
     pub fn follow_leaving(self: &Arc<Self>) {
         self.slots.lock().drain(self.is_leaving());
         self.drive();
     }
 
-    /// Whether the endpoint is leaving, by its agent's stop, its declaration or its VM.
+    /// Whether the endpoint is draining, by its agent's stop, its declaration or its VM.
     pub fn is_leaving(&self) -> bool {
         let state = self.in_force.state();
         let declared = state.endpoint(self.name());
@@ -207,7 +207,7 @@
             || self.in_force.is_vm_leaving(&self.vm)
     }
 
-    /// Waits, up to `limit`, until no request waits or runs.
+    /// Waits, up to `limit`, until no request is waiting or running.
     pub async fn idle(&self, limit: Duration) {
         let idle = async {
             loop {
@@ -221,7 +221,7 @@
         within(limit, idle).await;
     }
 
-    /// Returns what an entry may want to know.
+    /// Returns the load report for entries.
     pub fn hint(&self) -> Hint {
         let leaving = self.is_leaving();
         let slots = self.slots.lock();
@@ -258,10 +258,10 @@
         self.gate.done(permit).await;
     }
 
-    /// Loads an adapter and checks that the engine loaded just that one.
+    /// Loads an adapter and checks that the same run of the engine loaded that adapter.
     async fn load_checked(&self, target: &Target, weights: &str) -> bool {
         if !self.may_order().await {
-            tracing::warn!(adapter = %target, "no load, as another agent may be in charge");
+            tracing::warn!(adapter = %target, "not loaded: another agent may hold the epoch");
             return false;
         }
         let limit = self.cfg.load_timeout;
@@ -277,16 +277,16 @@
         let same_run = run.as_deref() == Some(&*done.incarnation);
         let exact = done.adapter == target.to_string();
         if !exact {
-            tracing::error!(adapter = %target, got = done.adapter, "another was loaded");
+            tracing::error!(adapter = %target, got = done.adapter, "wrong adapter loaded");
         }
         exact && same_run
     }
 
     async fn unload(self: Arc<Self>, target: Target) {
         if !self.may_order().await {
-            tracing::warn!(adapter = %target, "no unload, as another agent may be in charge");
+            tracing::warn!(adapter = %target, "not unloaded: another agent may hold the epoch");
             self.slots.lock().unloaded(Instant::now(), &target, false);
-            // Without an order the next try must wait, or it would come at once.
+            // No call was made, so without a pause the next attempt would follow at once.
             Timer::after(ORDER_PAUSE).await;
             return self.drive();
         }
@@ -304,7 +304,7 @@
         }
     }
 
-    /// Forgets a request of which the engine holds nothing.
+    /// Removes a request of which the engine holds no state.
     fn leave(self: &Arc<Self>, id: AttemptId) {
         self.verdicts.lock().remove(&id);
         let mut slots = self.slots.lock();
@@ -315,7 +315,8 @@
         self.drive();
     }
 
-    /// Ends a request at the engine and keeps its adapter pinned until that is sure.
+    /// Cancels a request at the engine and keeps its adapter pinned until the engine
+    /// confirms or restarts.
     async fn end_surely(self: Arc<Self>, id: AttemptId, run: Option<Incarnation>) {
         let name = self.request_id(id);
         while self.incarnation() == run {
@@ -329,7 +330,7 @@
 }
 
 impl Place {
-    /// Waits until the request may run, or is refused.
+    /// Waits until the request may run or is refused.
     pub async fn granted(&self) -> Verdict {
         match self.verdict.recv().await {
             Ok(verdict) => verdict,
@@ -337,12 +338,12 @@
         }
     }
 
-    /// Marks that from now on the engine may hold something of the request.
+    /// Marks that the engine may hold state of the request.
     pub fn entered_engine(&mut self) {
         self.in_engine = true;
     }
 
-    /// Marks that the engine holds nothing more of the request.
+    /// Marks that the engine holds no state of the request.
     pub fn left_engine(&mut self) {
         self.in_engine = false;
     }
@@ -367,7 +368,7 @@
     }
 }
 
-/// Reads `adapter@version`.
+/// Parses `adapter@version`.
 fn parse_target(name: &str) -> Option<Target> {
     let (adapter, version) = name.split_once(larkspring_core::ids::VERSION_MARK)?;
     Some(Target::new(adapter, version))
--- a/crates/larkspring/src/agent/gate.rs
+++ b/crates/larkspring/src/agent/gate.rs
@@ -1,4 +1,4 @@
-//! Asking for a part of the weight store's budget before a load.
+//! Requests for permits of the weight store's load budget.
 
 use std::time::Duration;
 
@@ -15,29 +15,29 @@
 use crate::rpc::channel::{Channel, Pool};
 use crate::settings::PlatformCfg;
 
-/// The way to the entry that gives out the budget.
+/// Client of the leading entry, which grants load permits.
 pub struct Gate {
     limits: Option<BudgetLimits>,
     api: HttpObjects,
     pool: Pool,
-    /// Address of the entry that granted last.
+    /// Address of the leading entry, as last known.
     leader: Mutex<Option<String>>,
 }
 
-/// A granted load.
+/// A permit for one load.
 pub struct Permit {
     load: String,
-    /// Who granted it; `None` if nobody could be asked.
+    /// Address of the entry that granted the permit; `None` if no entry was involved.
     leader: Option<String>,
 }
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longer than a call for a permit waits at the entry.
+/// Exceeds the 10 s that a call for a permit waits at the entry.
 const PERMIT_TIMEOUT: Duration = Duration::from_secs(12);
 const TRIES: u32 = 3;
 
 impl Gate {
-    /// Creates a gate by the platform's settings.
+    /// Creates a gate from the platform's settings.
     pub fn new(cfg: &PlatformCfg) -> Self {
         Self {
             limits: cfg.loads,
@@ -47,7 +47,8 @@
         }
     }
 
-    /// Waits until a load may begin; `agents` share the budget if nobody grants.
+    /// Waits until a load may begin. If no entry grants permits, the budget's rate is
+    /// divided among `agents` agents.
     pub async fn pass(
         &self,
         load: String,
@@ -64,21 +65,22 @@
                 None => *self.leader.lock() = None,
             }
         }
-        // Nobody grants: each agent takes its share of the rate, spread at random.
+        // Without a leader each agent uses its share of the rate, with a random delay.
         let share = Duration::from_secs_f64(agents as f64 / limits.rate);
         Timer::after(share.mul_f64(fastrand::f64())).await;
         Permit { load, leader: None }
     }
 
-    /// Gives a permit back.
+    /// Returns a permit.
     pub async fn done(&self, permit: Permit) {
         let Some(addr) = permit.leader else { return };
         let Some(mut client) = self.client(&addr).await else { return };
-        // A permit that is not given back counts as ended after a time.
+        // A permit that is not returned expires.
         within(CONNECT_TIMEOUT, client.done(DoneRequest { load: permit.load })).await;
     }
 
-    /// Asks for a permit: granted, not yet, or `None` if another entry grants.
+    /// Requests a permit: `true` if granted, `false` if not yet, `None` if the call
+    /// failed or the entry does not lead.
     async fn ask(&self, addr: &str, req: PermitRequest) -> Option<bool> {
         let mut client = self.client(addr).await?;
         let reply = within(PERMIT_TIMEOUT, client.permit(req)).await?;
@@ -92,7 +94,7 @@
         Some(LoadsClient::with_origin(channel, origin))
     }
 
-    /// Returns the address of the entry that grants, as it was last known.
+    /// Returns the address of the leading entry, as last known.
     async fn leader(&self) -> Option<String> {
         if let Some(addr) = self.leader.lock().clone() {
             return Some(addr);
--- a/crates/larkspring/src/agent/job.rs
+++ b/crates/larkspring/src/agent/job.rs
@@ -1,4 +1,4 @@
-//! One request at the agent, from its arrival to the last byte of its answer.
+//! Handling of one request at the agent, from its arrival to the last byte of the answer.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -26,20 +26,20 @@
 use crate::telemetry::TraceParent;
 use crate::wire::refusal_to_wire;
 
-/// Messages to the entry.
+/// Sender of messages to the entry.
 pub type Down = Sender<Result<DispatchDown, Status>>;
 
-/// End of an engine's streamed answer; without it the answer is not whole.
+/// Last event of an engine's streamed answer; without it the answer is incomplete.
 const STREAM_END: &[u8] = b"data: [DONE]\n\n";
 const EVENT_STREAM: &str = "text/event-stream";
-/// Tries to get the rest of an answer whose connection broke.
+/// Attempts to get the rest of an answer after the connection broke.
 const MAX_RESUMES: u32 = 2;
 const RESUME_WAIT: Duration = Duration::from_millis(50);
-/// How long a request waits for the declared state that its entry decided by: the time
+/// Maximum time that a request waits for the declared state used by its entry: the time
 /// within which a change is to be in force everywhere.
 const CATCH_UP: Duration = Duration::from_secs(4);
 
-/// Serves one call of an entry to its end.
+/// Serves one call of an entry until the call ends.
 pub async fn run(endpoint: Arc<Endpoint>, mut up: Streaming<DispatchUp>, down: Down) {
     let first = within(START_TIMEOUT, up.next()).await.flatten();
     let Some(Ok(DispatchUp { kind: Some(dispatch_up::Kind::Start(start)) })) = first
@@ -63,7 +63,7 @@
     drop(reader);
 }
 
-/// Takes in the entry's credit until it ends the call.
+/// Applies the entry's credit messages until the entry ends the call.
 async fn read_credit(mut up: Streaming<DispatchUp>, credit: Arc<Credit>) {
     while let Some(Ok(message)) = up.next().await {
         if let Some(dispatch_up::Kind::Credit(more)) = message.kind {
@@ -81,11 +81,11 @@
     trace: TraceParent,
 }
 
-/// Why a request ends before its answer is whole.
+/// Why a request ends before its answer is complete.
 enum Stop {
-    /// The entry has gone; nobody waits for an answer.
+    /// The entry ended the call; no answer is needed.
     Gone,
-    /// The entry is told.
+    /// The refusal is sent to the entry.
     Refused(Refusal),
 }
 
@@ -98,11 +98,11 @@
 /// An answer that is being relayed.
 struct Answer {
     body: Body,
-    /// Bytes that were relayed.
+    /// Bytes relayed so far.
     sent: u64,
-    /// Bytes that the answer has, if it says so.
+    /// Declared length of the answer in bytes, if any.
     len: Option<u64>,
-    /// Whether it is a stream of events.
+    /// Whether the answer is an event stream.
     events: bool,
     tail: Tail,
 }
@@ -118,7 +118,7 @@
             Ok(()) => self.endpoint.metrics.count("requests", "outcome", "ok"),
             Err(Stop::Gone) => {
                 self.endpoint.metrics.count("requests", "outcome", "gone");
-                tracing::info!("the entry has gone");
+                tracing::info!("request cancelled: the entry ended the call");
             }
             Err(Stop::Refused(refusal)) => {
                 let outcome = refusal.outcome.name();
@@ -145,7 +145,8 @@
         let late = || late(Step::Queue, Refusal::not_run);
         self.bounded(deadline, late, async { Ok(place.granted().await?) }).await?;
         let load_wait = if place.resident { Duration::ZERO } else { since.elapsed() };
-        // Boxed, as it ends before the long part of the request.
+        // Boxed, so that the memory of this step is freed before the relay, the longest
+        // step.
         let mut res = Box::pin(self.send(&mut place, &target, deadline)).await?;
         let mut answer = Answer::new(&res);
         self.begin(&res, load_wait).await?;
@@ -157,7 +158,7 @@
         self.tell(dispatch_down::Kind::End(end)).await
     }
 
-    /// Returns the exact adapter, once it is declared here too.
+    /// Returns the requested adapter version once it is declared in this process too.
     async fn target(&self, deadline: Instant) -> Result<Target, Refusal> {
         if let Some(service) = &self.start.service {
             return Ok(Target::new(&service.service, SERVICE_VERSION));
@@ -177,8 +178,8 @@
         }
     }
 
-    /// Waits for the declared state that the entry decided by, which may reach the entry
-    /// first.
+    /// Waits for the revision of the declared state that the entry used, as a change may
+    /// reach the entry first.
     async fn catch_up(&self, deadline: Instant) {
         let (in_force, wanted) = (&self.endpoint.in_force, self.start.revision);
         let known = in_force.state().revision;
@@ -190,7 +191,7 @@
         within(left.min(CATCH_UP), in_force.reached(wanted)).await;
     }
 
-    /// Sends the request and checks that the right engine begins to answer.
+    /// Sends the request and checks that the expected adapter and run begin to answer.
     async fn send(
         &self,
         place: &mut Place,
@@ -285,7 +286,7 @@
         self.tell(dispatch_down::Kind::Begin(begin)).await
     }
 
-    /// Relays an answer to its end; a broken stream of an engine is resumed.
+    /// Relays an answer to its end; an engine's interrupted stream is resumed.
     async fn relay(
         &self,
         place: &mut Place,
@@ -307,13 +308,14 @@
             if !resumable || resumes > MAX_RESUMES {
                 return Err(Refusal::failed(Step::Stream, broken).into());
             }
-            tracing::info!(offset = answer.sent, "resuming a broken answer");
+            tracing::info!(offset = answer.sent, "resuming an interrupted answer");
             Timer::after(RESUME_WAIT).await;
             answer.body = self.resume(place, answer.sent).await?;
         }
     }
 
-    /// Copies what comes; a broken connection is a refusal marked `elsewhere`.
+    /// Relays the body as it arrives; a broken connection gives a refusal marked
+    /// `elsewhere`.
     async fn copy(&self, answer: &mut Answer) -> Result<(), Stop> {
         let mut buf = vec![0; MAX_CHUNK];
         loop {
@@ -355,7 +357,7 @@
         }
     }
 
-    /// Runs `work` until it ends, the deadline passes or the entry goes.
+    /// Runs `work` until it ends, the deadline passes or the entry ends the call.
     async fn bounded<T>(
         &self,
         deadline: Instant,
--- a/crates/larkspring/src/agent/mod.rs
+++ b/crates/larkspring/src/agent/mod.rs
@@ -1,7 +1,8 @@
 //! The agent: the process beside an endpoint through which all of its requests go.
 //!
-//! It has the last word for its endpoint. At the moment of use it checks the adapter,
-//! the run of the engine, the deadline and whether it still takes requests.
+//! The agent decides whether a request runs at its endpoint. Just before it sends a
+//! request it checks the adapter, the run of the engine, the deadline and whether the
+//! endpoint still takes requests.
 
 mod backend;
 mod endpoint;
@@ -36,12 +37,12 @@
 use crate::telemetry::Metrics;
 
 quick_error! {
-    /// Why a process can't start.
+    /// Error that keeps a process from starting.
     #[derive(Debug)]
     pub enum StartError {
-        /// The settings lack the part for the process.
+        /// The settings have no section for the process.
         Settings(part: &'static str) { display("settings: `{part}` is missing") }
-        /// The address can't be listened on.
+        /// Listening on the address failed.
         Listen(addr: SocketAddr, cause: std::io::Error) {
             display("listen on {addr}: {cause}")
         }
@@ -51,7 +52,7 @@
 /// A running agent.
 #[derive(Debug)]
 pub struct Agent {
-    /// The address that it listens on.
+    /// The address on which entries are served.
     pub addr: SocketAddr,
     endpoint: Arc<Endpoint>,
     stopper: crate::rpc::serve::Stopper,
@@ -91,23 +92,24 @@
         Ok(Self { addr, endpoint, stopper, grace, _tasks: vec![follow, polls] })
     }
 
-    /// Stops as planned: what waits is refused and what runs goes on to its end.
+    /// Shuts down gracefully: refuses waiting requests and lets running ones end within
+    /// the grace period.
     pub async fn stop(self) {
         self.endpoint.stop();
-        tracing::info!(endpoint = self.endpoint.name(), "agent stops");
+        tracing::info!(endpoint = self.endpoint.name(), "agent is stopping");
         self.endpoint.idle(self.grace).await;
         self.stopper.stop(self.grace).await;
     }
 }
 
-/// The serving side of the calls of entries.
+/// Serves calls of entries.
 struct Service {
     endpoint: Arc<Endpoint>,
 }
 
-/// Messages to an entry that are ready and not yet taken by the connection.
+/// Messages to an entry that may be queued before the connection takes them.
 const READY_MESSAGES: usize = 4;
-/// Time for a call to send its first message.
+/// Limit on the time until the first message of a call.
 const START_TIMEOUT: Duration = Duration::from_secs(5);
 
 #[tonic::async_trait]
@@ -126,7 +128,7 @@
     }
 }
 
-/// Returns the limits of the core from settings.
+/// Returns the scheduler's limits from the settings.
 fn limits(cfg: &AgentCfg) -> Limits {
     Limits {
         slots: cfg.slots,
@@ -141,9 +143,10 @@
     }
 }
 
-/// Loads under way at a time in one engine.
+/// Maximum number of concurrent loads in one engine.
 const MAX_LOADING: usize = 2;
-/// Wait of a request after which a busy adapter makes room for its own.
+/// Time that a request waits before an adapter in use is evicted for the request's
+/// adapter.
 const PATIENCE: Duration = Duration::from_secs(2);
-/// Time after the start in which the engine's reports may still miss requests.
+/// Time after the start in which the engine's reports may still lack requests.
 const SETTLE: Duration = Duration::from_secs(3);
--- a/crates/larkspring/src/agent/poll.rs
+++ b/crates/larkspring/src/agent/poll.rs
@@ -1,4 +1,4 @@
-//! Background work of an agent: its epoch, and the reports of its engine.
+//! Background work of an agent: taking the epoch and polling the engine's reports.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -10,15 +10,15 @@
 use super::backend::Report;
 use super::endpoint::Endpoint;
 
-/// Reports that may be missed before the engine counts as unreachable.
+/// Consecutive failed reports after which the engine counts as unreachable.
 const MISSES: u32 = 2;
-/// Stands for the run of a plain service, which has none.
+/// Run id of a plain service, which reports none.
 const SERVICE_RUN: &str = "service";
 
-/// Version of the pseudo-adapter that stands for a plain service.
+/// Version of the pseudo-adapter that represents a plain service.
 pub const SERVICE_VERSION: &str = "-";
 
-/// Takes an epoch and then follows the engine for ever.
+/// Takes an epoch and then polls the engine; never returns.
 pub async fn run(endpoint: Arc<Endpoint>) {
     endpoint.in_force.reached(1).await;
     if let Some(service) = endpoint.service() {
@@ -35,7 +35,7 @@
             }
             Err(e) => {
                 misses += 1;
-                tracing::debug!(error = %e, "no report");
+                tracing::debug!(error = %e, "engine report failed");
                 if misses >= MISSES || e.nothing_sent() {
                     endpoint.unreachable();
                 }
@@ -45,7 +45,7 @@
     }
 }
 
-/// A plain service counts as an engine whose one adapter is always loaded.
+/// Treats a plain service as an engine whose only adapter is always resident.
 async fn follow_service(endpoint: Arc<Endpoint>, service: &str) {
     let report = Report {
         incarnation: SERVICE_RUN.into(),
@@ -58,7 +58,8 @@
     }
 }
 
-/// Waits for the next look, or for a change of what is declared or leaving.
+/// Waits for the next poll or a change of the declared state, and applies the draining
+/// state.
 async fn pause(endpoint: &Arc<Endpoint>) {
     let next = Instant::now() + endpoint.cfg().poll;
     loop {
--- a/crates/larkspring/src/entry/answer.rs
+++ b/crates/larkspring/src/entry/answer.rs
@@ -49,8 +49,8 @@
 
 /// Reads an answer from an agent.
 ///
-/// An interrupted answer ends in an error. The connection to the caller then closes without
-/// the last chunk, so that the caller cannot take the answer for a complete one.
+/// An interrupted answer ends in an error. The connection to the caller then closes
+/// without the last chunk, so that the caller cannot take the answer for a complete one.
 struct Relay {
     call: Option<Call>,
     /// Released when the answer ends.
@@ -150,7 +150,7 @@
 
     /// Ends the answer as interrupted; an event stream gets a last event with the error.
     fn break_off(&mut self, refusal: Refusal) {
-        tracing::info!(%refusal, "answer interrupted");
+        tracing::info!(%refusal, "an answer broke off");
         if self.events {
             let body = refuse::body(&refusal);
             self.chunk = format!("event: error\ndata: {body}\n\n").into();
--- a/crates/larkspring/src/entry/dispatch.rs
+++ b/crates/larkspring/src/entry/dispatch.rs
@@ -1,4 +1,5 @@
-//! Dispatch of a request: choosing an endpoint, sending, and retrying at another endpoint.
+//! Dispatch of a request: choosing an endpoint, sending, and retrying at another
+//! endpoint.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
--- a/crates/larkspring/src/entry/inbound.rs
+++ b/crates/larkspring/src/entry/inbound.rs
@@ -60,7 +60,8 @@
     Service { service: String, method: Method, path: String },
 }
 
-/// The fields of a completion request that the entry reads; `rest` is passed on unchanged.
+/// The fields of a completion request that the entry reads; `rest` is passed on
+/// unchanged.
 #[derive(Debug, Deserialize, Serialize)]
 struct Completion {
     model: String,
--- a/crates/larkspring/src/entry/keys/handover.rs
+++ b/crates/larkspring/src/entry/keys/handover.rs
@@ -17,8 +17,8 @@
 impl Keys {
     /// Hands over all partitions, with their claims, to other holders.
     ///
-    /// From the start of the handover this run grants no more keys. A partition that cannot
-    /// be handed over is taken over in the same way as after a crash.
+    /// From the start of the handover this run grants no more keys. A partition that
+    /// cannot be handed over is taken over in the same way as after a crash.
     pub async fn give_away(&self) {
         self.closing.store(true, Ordering::Release);
         let mut heirs = Vec::new();
@@ -73,7 +73,8 @@
         Some(Tenure { run: reply.run, vm: reply.vm, ..heir })
     }
 
-    /// Writes the new holders into the table; false if the table was changed concurrently.
+    /// Writes the new holders into the table; false if the table was changed
+    /// concurrently.
     async fn write_heirs(&self, heirs: &[(usize, Tenure)]) -> bool {
         let (version, mut table) = self.known_table();
         let mut left = false;
--- a/crates/larkspring/src/entry/keys/mod.rs
+++ b/crates/larkspring/src/entry/keys/mod.rs
@@ -178,7 +178,8 @@
                 return;
             }
         }
-        // The holder treats the attempt as unknown once the attempt's deadline has passed.
+        // The holder treats the attempt as unknown once the attempt's deadline has
+        // passed.
         tracing::warn!("claim not settled: the holder of the key did not answer");
     }
 
@@ -221,7 +222,8 @@
         claims.settle(key.ask.key, &key.ask.attempt, settled, answer);
     }
 
-    /// Returns the current tenure of a partition; `None` if no run ever held the partition.
+    /// Returns the current tenure of a partition; `None` if no run ever held the
+    /// partition.
     fn holder(&self, partition: usize) -> Option<Tenure> {
         let view = self.view.lock();
         let tenure = view.table.partitions.get(partition)?;
@@ -296,7 +298,8 @@
 }
 
 fn key_hash(caller: &str, key: &str) -> ClaimKey {
-    // A caller's name contains no newline, so two different pairs never give the same text.
+    // A caller's name contains no newline, so two different pairs never give the same
+    // text.
     xxhash_rust::xxh3::xxh3_128(format!("{caller}\n{key}").as_bytes())
 }
 
--- a/crates/larkspring/src/entry/keys/table.rs
+++ b/crates/larkspring/src/entry/keys/table.rs
@@ -51,7 +51,7 @@
             let pause = match self.step().await {
                 Ok(()) => TICK,
                 Err(e) => {
-                    tracing::warn!(error = %e, "key table not updated: object API call failed");
+                    tracing::warn!(error = %e, "object API failed; key table not updated");
                     FAILURE_PAUSE
                 }
             };
@@ -95,8 +95,8 @@
     /// Notifies the other holders of the partitions that this run took.
     ///
     /// They read the table only every few seconds, and cannot read the table at all while
-    /// the object API is unavailable. Until then, a key of a partition whose holder they do
-    /// not know would be refused as unknown.
+    /// the object API is unavailable. Until then, a key of a partition whose holder they
+    /// do not know would be refused as unknown.
     fn tell_others(self: &Arc<Self>) {
         for holder in self.other_holders() {
             let keys = self.clone();
@@ -229,8 +229,8 @@
         Ok(())
     }
 
-    /// Returns the table with the partitions that this run renews or takes; `None` if there
-    /// are none.
+    /// Returns the table with the partitions that this run renews or takes; `None` if
+    /// there are none.
     fn next_table(&self, view: &View) -> Option<KeyTable> {
         if self.closing.load(Ordering::Acquire) {
             return None;
@@ -277,7 +277,8 @@
         }
     }
 
-    /// Asks each suspect for its run id; a different id proves that the old run has ended.
+    /// Asks each suspect for its run id; a different id proves that the old run has
+    /// ended.
     async fn prove_ends(&self) {
         let suspects = std::mem::take(&mut self.view.lock().suspects);
         for (addr, run) in suspects {
--- a/crates/larkspring/src/entry/loads.rs
+++ b/crates/larkspring/src/entry/loads.rs
@@ -92,7 +92,8 @@
     }
 }
 
-/// Withdraws a load from the queue when its call ends, for example because the agent crashed.
+/// Withdraws a load from the queue when its call ends, for example because the agent
+/// crashed.
 struct Waiter<'a> {
     loads: &'a Loads,
     load: LoadId,
--- a/crates/larkspring/src/entry/mod.rs
+++ b/crates/larkspring/src/entry/mod.rs
@@ -121,7 +121,8 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time after which an idle caller connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(75);
-/// Connections allowed beyond the stream limit, for callers that are idle between requests.
+/// Connections allowed beyond the stream limit, for callers that are idle between
+/// requests.
 const SPARE_CONNECTIONS: usize = 1000;
 /// Retry delay sent by an entry that is stopping. Short, as another entry can take the
 /// request at once.
@@ -171,8 +172,8 @@
         Ok(Self { addr, operator_addr, inner, _stopper: stopper, _tasks: tasks })
     }
 
-    /// Shuts down gracefully: refuses new requests, hands over the key partitions and waits
-    /// up to `stop_grace` for the requests in progress.
+    /// Shuts down gracefully: refuses new requests, hands over the key partitions and
+    /// waits up to `stop_grace` for the requests in progress.
     pub async fn stop(self) {
         tracing::info!(addr = %self.addr, "entry is stopping");
         self.inner.stopping.store(true, Ordering::Release);
@@ -278,7 +279,8 @@
         Ok(res)
     }
 
-    /// Serves a request whose key was granted. The request continues if its caller hangs up.
+    /// Serves a request whose key was granted. The request continues if its caller hangs
+    /// up.
     async fn serve_once(
         self: &Arc<Self>,
         inbound: Inbound,
--- a/crates/larkspring/src/entry/once.rs
+++ b/crates/larkspring/src/entry/once.rs
@@ -1,5 +1,5 @@
-//! Requests that run at most once: the claim of the idempotency key, and its settlement when
-//! the request ends.
+//! Requests that run at most once: the claim of the idempotency key, and its settlement
+//! when the request ends.
 
 use std::sync::Arc;
 use std::time::Instant;
--- a/crates/larkspring/src/follow.rs
+++ b/crates/larkspring/src/follow.rs
@@ -1,9 +1,9 @@
-//! Following the declared state from process to process.
+//! Distribution of the declared state from process to process.
 //!
-//! The holders of the keys' partitions watch the object API; they are 64 at most. All
-//! other processes follow one of them, or one that follows them: a process with as many
-//! followers as it may have sends the next one on to one of its own. The tree builds
-//! itself by that, and no list of its members is kept anywhere.
+//! The holders of key partitions, at most 64, watch the object API. All other processes
+//! follow a holder, directly or through other followers: a process whose follower limit
+//! is reached redirects the next follower to one of its own followers. The tree forms
+//! without any list of its members.
 
 use std::collections::HashMap;
 use std::pin::Pin;
@@ -30,46 +30,46 @@
 use crate::rpc::channel::Pool;
 use crate::settings::PlatformCfg;
 
-/// Follows the declared state and passes it on.
+/// Follows the declared state and relays it to followers.
 pub struct Follower {
     in_force: Arc<InForce>,
     api: HttpObjects,
-    /// The VM list, if there is one.
+    /// The VM list, if the settings name an address.
     vms: Option<HttpVms>,
     pool: Pool,
     peers: Vec<String>,
-    /// Address at which this process serves followers; empty if it doesn't.
+    /// Address on which this process serves followers; empty if it serves none.
     relay: String,
-    /// When the last sign of life came, less its age.
+    /// Time of the last heartbeat, less its age.
     alive: Mutex<Instant>,
-    /// Followers by number, with the address at which each serves others.
+    /// The address on which each follower serves others, by follower id.
     followers: Mutex<HashMap<u64, String>>,
 }
 
-/// Followers that a process serves before it sends the next one on.
+/// Followers that a process serves before it redirects the next follower.
 const FANOUT: usize = 12;
-/// Followers that it serves if there is nobody to send them on to.
+/// Maximum number of followers if there is no process to redirect to.
 const MOST_FOLLOWERS: usize = 256;
-/// How often the VM list is read by each process that watches the object API.
+/// Interval between reads of the VM list by each process that watches the object API.
 const VM_LIST_INTERVAL: Duration = Duration::from_secs(1);
-/// How often a sign of life is sent.
+/// Heartbeat interval.
 const ALIVE: Duration = Duration::from_secs(1);
-/// Age of the last sign of life at which another process is followed.
+/// Age of the last heartbeat at which another process is followed.
 const STALE: Duration = Duration::from_millis(2500);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause before the next process is asked, at first and at most.
+/// Initial and maximum pause before the next process is followed.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
 const LONGEST_PAUSE: Duration = Duration::from_secs(5);
-/// Failures after which the table is read anew.
+/// Consecutive failures after which the table is read again.
 const FAILURES_A_READ: u32 = 3;
-/// Bytes of chunks in one message.
+/// Size of the chunks in one message, in bytes, after which the next message begins.
 const MESSAGE_BYTES: usize = 256 * 1024;
 const READY_MESSAGES: usize = 2;
-/// Times that a follower is sent on before it begins again at the top.
+/// Redirects that a follower accepts before it starts again at the root.
 const MOST_REDIRECTS: u32 = 4;
 
 impl Follower {
-    /// Creates a follower; `relay` is where it serves others, or empty.
+    /// Creates a follower; `relay` is the address on which it serves others, or empty.
     pub fn new(in_force: Arc<InForce>, cfg: &PlatformCfg, relay: String) -> Self {
         Self {
             in_force,
@@ -83,7 +83,8 @@
         }
     }
 
-    /// Follows for ever; watches the object API itself while `is_root` says so.
+    /// Follows the declared state and watches the object API directly while `is_root`
+    /// returns true; never returns.
     pub async fn run(&self, is_root: impl Fn() -> bool) {
         let mut holders = Vec::new();
         let mut failures = 0;
@@ -92,7 +93,8 @@
                 let watch = self.in_force.watch(&self.api, &is_root);
                 watch.or(self.be_alive()).or(self.watch_vms()).await;
             }
-            // The table is read seldom, so that a hall's loss sends no herd to the API.
+            // The table is read rarely, so that the loss of a hall causes no burst of
+            // reads at the object API.
             let stale = failures % FAILURES_A_READ == FAILURES_A_READ - 1;
             if holders.is_empty() || stale {
                 holders = self.holders().await.unwrap_or(holders);
@@ -102,7 +104,7 @@
             let began = Instant::now();
             if let Some(first) = first.cloned() {
                 if let Err(status) = self.descend(first).await {
-                    tracing::info!(%status, "another process is followed");
+                    tracing::info!(%status, "following another process");
                 }
             }
             let lived = *self.alive.lock() > began;
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Gives signs of life for ever.
+    /// Keeps the heartbeat of a root current; never returns.
     async fn be_alive(&self) {
         loop {
             *self.alive.lock() = Instant::now();
@@ -120,7 +122,7 @@
         }
     }
 
-    /// Reads the VM list for ever; while it can't be read the last one counts.
+    /// Polls the VM list; while reads fail the last list stays in effect. Never returns.
     async fn watch_vms(&self) {
         let Some(vms) = &self.vms else { return std::future::pending().await };
         loop {
@@ -130,7 +132,9 @@
                     let names = leaving.map(|vm| vm.name).collect();
                     self.in_force.set_leaving_vms(names);
                 }
-                Err(e) => tracing::warn!(error = %e, "the VM list can't be read"),
+                Err(e) => {
+                    tracing::warn!(error = %e, "VM list not read, keeping the last one")
+                }
             }
             Timer::after(VM_LIST_INTERVAL).await;
         }
@@ -148,7 +152,7 @@
         Some(holders)
     }
 
-    /// Follows a process, or one to which it sends this one on, until that fails.
+    /// Follows a process, or one to which it redirects, until the stream ends or fails.
     async fn descend(&self, first: String) -> Result<(), Status> {
         let mut addr = first;
         for _ in 0..=MOST_REDIRECTS {
@@ -175,7 +179,8 @@
         Ok(reply.into_inner())
     }
 
-    /// Takes in updates until the stream fails; returns whom to follow instead.
+    /// Applies updates until the stream ends; returns the address to follow instead, if
+    /// redirected.
     async fn take(&self, down: &mut Streaming<Update>) -> Result<Option<String>, Status> {
         let mut changed = HashMap::new();
         loop {
@@ -222,7 +227,7 @@
         Ok(())
     }
 
-    /// Counts a follower in, or says to whom it is sent on.
+    /// Registers a follower and returns its id, or returns the addresses to redirect to.
     fn admit(&self, relay: &str) -> Result<u64, Vec<String>> {
         let mut followers = self.followers.lock();
         let onward: Vec<_> = followers
@@ -242,7 +247,7 @@
 
 /// Serves followers of a process.
 pub struct Service {
-    /// What is passed on.
+    /// The follower whose state is relayed.
     pub follower: Arc<Follower>,
 }
 
@@ -272,7 +277,7 @@
     }
 }
 
-/// Sends a follower each change and signs of life, until it has gone.
+/// Sends a follower each change and heartbeats until the follower disconnects.
 async fn pass_on(
     follower: Arc<Follower>,
     id: u64,
@@ -302,7 +307,7 @@
     }
 }
 
-/// Returns the messages that bring a follower with the chunks `held` to `state`.
+/// Returns the messages that update a follower from the chunks `held` to `state`.
 fn changes(
     state: &larkspring_core::declared::State,
     held: &mut Vec<String>,
--- a/crates/larkspring/src/in_force.rs
+++ b/crates/larkspring/src/in_force.rs
@@ -1,4 +1,4 @@
-//! The declared state in force in this process, and how it follows the object API.
+//! The declared state in force in this process, and the watch of the object API.
 
 use std::collections::HashMap;
 use std::future::Future;
@@ -17,7 +17,7 @@
 
 /// Name of the object that holds the root.
 pub const ROOT: &str = "config/root";
-/// How long one watch waits at the object API.
+/// Maximum time that one watch waits at the object API.
 const WATCH: Duration = Duration::from_secs(10);
 const FIRST_WAIT: Duration = Duration::from_millis(100);
 const LONGEST_WAIT: Duration = Duration::from_secs(2);
@@ -26,7 +26,7 @@
 #[derive(Debug, Default)]
 pub struct InForce {
     state: ArcSwap<State>,
-    /// VMs that the platform's list shows as leaving, sorted.
+    /// VMs marked as leaving in the platform's list, sorted.
     leaving_vms: ArcSwap<Vec<String>>,
     changed: event_listener::Event,
 }
@@ -37,7 +37,7 @@
         self.state.load_full()
     }
 
-    /// Puts a state in force, unless one as new already is; says whether it did.
+    /// Puts a state in force unless the current one is as new; returns whether it did.
     pub fn apply(&self, revision: Revision, parts: Vec<Arc<Part>>) -> bool {
         let state = Arc::new(State::build(revision, parts));
         let before = self.state.rcu(|old| match old.revision < revision {
@@ -59,24 +59,24 @@
         }
     }
 
-    /// Waits until another state comes in force or other VMs are leaving.
+    /// Waits until another state is in force or the set of leaving VMs changes.
     ///
-    /// Counts from the call on, not from the first poll.
+    /// Changes count from the call on, not from the first poll.
     pub fn changed(&self) -> impl Future<Output = ()> {
         self.changed.listen()
     }
 
-    /// Returns the VMs that the platform's list shows as leaving.
+    /// Returns the VMs marked as leaving in the platform's list.
     pub fn leaving_vms(&self) -> Arc<Vec<String>> {
         self.leaving_vms.load_full()
     }
 
-    /// Whether the platform's list shows a VM as leaving.
+    /// Whether a VM is marked as leaving in the platform's list.
     pub fn is_vm_leaving(&self, vm: &str) -> bool {
         self.leaving_vms.load().binary_search_by(|name| name.as_str().cmp(vm)).is_ok()
     }
 
-    /// Takes in which VMs are leaving.
+    /// Sets the VMs that are leaving.
     pub fn set_leaving_vms(&self, mut vms: Vec<String>) {
         vms.sort();
         if **self.leaving_vms.load() != vms {
@@ -86,7 +86,8 @@
         }
     }
 
-    /// Watches the object API while `go_on` says so; what is in force stays in outages.
+    /// Watches the object API while `go_on` returns true. The state in force stays in
+    /// effect while the object API is unavailable.
     pub async fn watch(&self, api: &dyn ObjectApi, go_on: impl Fn() -> bool) {
         let mut seen = 0;
         let mut failures = 0;
@@ -97,7 +98,7 @@
                     failures = 0;
                 }
                 Err(e) => {
-                    tracing::warn!(error = %e, "the declared state can't be followed");
+                    tracing::warn!(error = %e, "declared state not read, keeping the last");
                     let mut rng = fastrand::Rng::new();
                     let wait = backoff(FIRST_WAIT, LONGEST_WAIT, failures, &mut rng);
                     failures += 1;
@@ -121,7 +122,7 @@
         Ok(object.version)
     }
 
-    /// Returns the parts of a root; those already held are not read again.
+    /// Returns the parts of a root and reads only those not held yet.
     async fn fetch_parts(
         &self,
         api: &dyn ObjectApi,
--- a/crates/larkspring/src/settings.rs
+++ b/crates/larkspring/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a process: read from YAML, checked as a whole, with defaults filled in.
+//! Settings of a process: parsed from YAML, validated, with defaults filled in.
 
 use std::fmt::Write as _;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -13,16 +13,16 @@
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why settings are refused: one line for each fault.
+    /// Errors in settings, one line for each.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum SettingsError {
         /// The file can't be read.
         Read(file: String, cause: String) { display("{file}: {cause}") }
-        /// The file is no valid YAML or has a key that isn't known.
+        /// The file is not valid YAML or has an unknown key.
         Syntax(file: String, line: usize, cause: String) {
             display("{file}:{line}: {cause}")
         }
-        /// Values that can't be used, a line each.
+        /// Invalid values, one line each.
         Values(lines: String) { display("{lines}") }
     }
 }
@@ -32,15 +32,15 @@
 pub struct Settings {
     /// Hall (failure domain) of the process.
     pub hall: String,
-    /// VM that it runs on.
+    /// VM of the process.
     pub vm: String,
-    /// Threads; 0 for one.
+    /// Number of threads; 0 means one.
     pub threads: u32,
-    /// Settings of an entry, if it is one.
+    /// Settings of the entry, if the process runs one.
     pub entry: Option<EntryCfg>,
-    /// Settings of an agent, if it is one.
+    /// Settings of the agent, if the process runs one.
     pub agent: Option<AgentCfg>,
-    /// Where the platform is.
+    /// Addresses and limits of the platform.
     pub platform: PlatformCfg,
     /// Logs, spans and metrics.
     pub telemetry: TelemetryCfg,
@@ -51,37 +51,37 @@
 pub struct EntryCfg {
     /// Address for callers.
     pub listen: SocketAddr,
-    /// Deadline of a request that names none.
+    /// Deadline of a request that sets none.
     pub default_deadline: Duration,
-    /// The longest deadline that a request may ask for.
+    /// The longest deadline that a request may set.
     pub max_deadline: Duration,
-    /// Requests at a time.
+    /// Maximum number of concurrent requests.
     pub max_streams: usize,
-    /// Requests at a time for each caller.
+    /// Maximum number of concurrent requests of one caller.
     pub max_streams_per_caller: usize,
-    /// Bytes of a body.
+    /// Maximum size of a request body, in bytes.
     pub max_body: usize,
-    /// Time for a request to come whole.
+    /// Limit on the time until a request has arrived completely.
     pub head_timeout: Duration,
-    /// Time that a caller may take nothing of its answer.
+    /// Longest time that a caller may read nothing of its answer.
     pub stall_timeout: Duration,
-    /// Time for requests in progress to end at a planned stop.
+    /// Time for requests in progress to end at a graceful shutdown.
     pub stop_grace: Duration,
-    /// Connections to agents.
+    /// Maximum number of connections to agents.
     pub max_agent_connections: usize,
     /// Retries for each hundred requests.
     pub retry_percent: u32,
-    /// How an endpoint is chosen.
+    /// Policy for choosing an endpoint.
     pub routing: Policy,
-    /// Address for other entries; the one for callers with any port by default.
+    /// Address for other entries; by default the IP address for callers, with any port.
     pub control: SocketAddr,
-    /// Lengths of time that at-most-once depends on.
+    /// Durations on which the at-most-once guarantee depends.
     pub terms: Terms,
-    /// Partitions of the keys that the entry takes.
+    /// Maximum number of key partitions that the entry takes.
     pub max_key_partitions: usize,
-    /// Bytes of answers kept for resends.
+    /// Size of the answers kept for retries, in bytes.
     pub kept_answer_bytes: usize,
-    /// Address for operators, if they are served.
+    /// Address for operators, if the operator API is served.
     pub operator: Option<SocketAddr>,
     /// SHA-256 of the operators' key, in hex.
     pub operator_key_sha256: String,
@@ -92,45 +92,45 @@
 pub struct AgentCfg {
     /// Address for entries.
     pub listen: SocketAddr,
-    /// Name of its endpoint.
+    /// Name of the agent's endpoint.
     pub endpoint: String,
     /// Address of the engine or service.
     pub backend: String,
     /// Adapter slots of the engine.
     pub slots: usize,
-    /// Requests in the endpoint at a time.
+    /// Maximum number of requests running at the endpoint.
     pub max_running: usize,
-    /// Requests that may wait.
+    /// Maximum number of waiting requests.
     pub max_waiting: usize,
-    /// Time for requests in progress to end at a planned stop.
+    /// Time for requests in progress to end at a graceful shutdown.
     pub stop_grace: Duration,
-    /// Time for a load to end.
+    /// Limit on the time that a load takes.
     pub load_timeout: Duration,
-    /// How often the engine is asked for its state.
+    /// Interval between polls of the engine's state.
     pub poll: Duration,
-    /// Which adapter is unloaded first.
+    /// Policy for choosing the adapter to unload.
     pub eviction: Eviction,
 }
 
-/// Where the platform is.
+/// Addresses and limits of the platform.
 #[derive(Debug, Clone)]
 pub struct PlatformCfg {
     /// Address of the object API.
     pub objects: String,
     /// Address of the VM list.
     pub vms: String,
-    /// Time for a call to end.
+    /// Timeout of a call.
     pub timeout: Duration,
-    /// Other entries, to be followed while the object API can't be asked.
+    /// Other entries, to be followed while the object API is unavailable.
     pub peers: Vec<String>,
-    /// What the weight store gives in all; `None` for no limit.
+    /// Load budget of the weight store; `None` for no limit.
     pub loads: Option<BudgetLimits>,
 }
 
 /// Logs, spans and metrics.
 #[derive(Debug, Clone)]
 pub struct TelemetryCfg {
-    /// Address that takes statsd metrics over UDP; empty for none.
+    /// UDP address of the statsd server; empty for none.
     pub statsd: String,
     /// Whether spans are written to the log.
     pub spans: bool,
@@ -138,7 +138,7 @@
     pub level: tracing::Level,
 }
 
-/// Reads and checks a file of settings.
+/// Reads and validates a settings file.
 pub fn load(path: &Path) -> Result<Settings, SettingsError> {
     let file = path.display().to_string();
     let text = std::fs::read_to_string(path)
@@ -146,7 +146,7 @@
     parse(&file, &text)
 }
 
-/// Checks the text of settings; `file` is named in errors.
+/// Parses and validates the text of settings; errors name `file`.
 pub fn parse(file: &str, text: &str) -> Result<Settings, SettingsError> {
     let raw: wire::Settings = serde_yaml_ng::from_str(text).map_err(|e| {
         let line = e.location().map_or(1, |l| l.line());
@@ -161,11 +161,11 @@
 }
 
 const SHA256_DIGITS: usize = 64;
-/// A lease is at least this many times the skew of clocks.
+/// Minimum ratio of the key lease to the clock skew.
 const LEAST_LEASE: u32 = 10;
 const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// Collects the faults of one file.
+/// Collects the errors of one file.
 struct Check<'a> {
     file: &'a str,
     text: &'a str,
@@ -177,7 +177,7 @@
         self.named("hall", &raw.hall);
         self.named("vm", &raw.vm);
         if raw.entry.is_none() && raw.agent.is_none() {
-            self.fault("entry", "one of `entry` and `agent` is needed");
+            self.fault("entry", "at least one of `entry` and `agent` is required");
         }
         Settings {
             hall: raw.hall.clone(),
@@ -192,7 +192,7 @@
 
     fn entry(&mut self, raw: &wire::Entry) -> EntryCfg {
         let routing = Policy::parse(&raw.routing).unwrap_or_else(|| {
-            let text = "one of predicted, random, least, hash is needed";
+            let text = "must be one of predicted, random, least, hash";
             self.fault("entry.routing", text);
             Policy::Predicted
         });
@@ -224,19 +224,19 @@
             kept_answer_bytes: bytes(raw.kept_answer_bytes, 8 * 1024 * 1024),
         };
         if cfg.operator.is_some() && cfg.operator_key_sha256.len() != SHA256_DIGITS {
-            let text = "the SHA-256 of a key in hex is needed with entry.operator";
+            let text = "must be the SHA-256 of a key in hex if entry.operator is set";
             self.fault("entry.operator_key_sha256", text);
         }
         if cfg.terms.lease < cfg.terms.skew * LEAST_LEASE {
-            let text = "the lease is under ten times entry.clock_skew_ms";
+            let text = "must be at least ten times entry.clock_skew_ms";
             self.fault("entry.key_lease_ms", text);
         }
         if cfg.terms.retention < cfg.max_deadline {
-            let text = "keys must be kept for entry.max_deadline_ms at least";
+            let text = "must be at least entry.max_deadline_ms";
             self.fault("entry.key_retention_ms", text);
         }
         if cfg.default_deadline > cfg.max_deadline {
-            let text = "the default is over entry.max_deadline_ms";
+            let text = "must not exceed entry.max_deadline_ms";
             self.fault("entry.default_deadline_ms", text);
         }
         if cfg.max_streams_per_caller > cfg.max_streams {
@@ -244,7 +244,7 @@
             self.fault("entry.max_streams_per_caller", text);
         }
         if cfg.retry_percent > 100 {
-            self.fault("entry.retry_percent", "at most 100 retries a hundred requests");
+            self.fault("entry.retry_percent", "must not exceed 100");
         }
         cfg
     }
@@ -273,7 +273,7 @@
             load_timeout: millis(raw.load_timeout_ms, 30_000),
             poll: millis(raw.poll_ms, 500),
             eviction: Eviction::parse(&raw.eviction).unwrap_or_else(|| {
-                self.fault("agent.eviction", "one of heat, lru is needed");
+                self.fault("agent.eviction", "must be one of heat, lru");
                 Eviction::Heat
             }),
         }
@@ -299,7 +299,7 @@
     fn loads(&mut self, raw: &wire::Platform) -> Option<BudgetLimits> {
         let (rate, concurrency) = (raw.load_rate, raw.load_concurrency as usize);
         if rate < 0.0 || (rate > 0.0) != (concurrency > 0) {
-            let text = "load_rate and load_concurrency are needed together";
+            let text = "load_rate and load_concurrency must be set together";
             self.fault("platform.load_rate", text);
         }
         (rate > 0.0).then_some(BudgetLimits { rate, concurrency })
@@ -311,7 +311,7 @@
         }
         let level = if raw.level.is_empty() { "info" } else { &raw.level };
         let level = level.parse().unwrap_or_else(|_| {
-            let text = "one of error, warn, info, debug, trace is needed";
+            let text = "must be one of error, warn, info, debug, trace";
             self.fault("telemetry.level", text);
             tracing::Level::INFO
         });
@@ -357,7 +357,7 @@
     }
 }
 
-/// Finds the line of a dotted key; a key that isn't written stands at its parent's line.
+/// Finds the line of a dotted key; for a missing key, the line of its nearest parent.
 fn line_of(text: &str, key: &str) -> usize {
     let mut found = 1;
     let mut lines = text.lines().enumerate();
--- a/crates/larkspring/src/telemetry.rs
+++ b/crates/larkspring/src/telemetry.rs
@@ -1,4 +1,4 @@
-//! Logs as JSON lines, spans of each hop and metrics.
+//! Logs as JSON lines, trace spans of each hop, and metrics.
 
 use std::fmt::Display;
 use std::io;
@@ -18,25 +18,25 @@
 /// Prefix of every metric.
 const PREFIX: &str = "larkspring";
 
-/// Where log lines go.
+/// Output of the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogTo {
-    /// Standard output, as for every process of a deployment.
+    /// Standard output, for the processes of a deployment.
     Stdout,
     /// Standard error, for commands whose standard output is read by a person.
     Stderr,
 }
 
-/// Keeps the log going; the lines that wait are written when it is dropped.
+/// Keeps the log writer running, and writes the buffered lines when dropped.
 #[must_use]
 #[derive(Debug)]
 pub struct LogGuard(#[allow(dead_code)] WorkerGuard);
 
-/// Lines that may wait for a reader that is slow; more are left out, as a request never
-/// waits for the log.
+/// Lines buffered for a slow reader; further lines are dropped, as a request never waits
+/// for the log.
 const WAITING_LINES: usize = 4096;
 
-/// Starts the log of the process on a VM; later calls change nothing.
+/// Starts the log of a process on VM `vm`; later calls have no effect.
 pub fn start_log(vm: &str, level: tracing::Level, spans: bool, to: LogTo) -> LogGuard {
     let spans = if spans { FmtSpan::CLOSE } else { FmtSpan::NONE };
     let lines =
@@ -52,17 +52,17 @@
         .with_max_level(level)
         .with_span_events(spans)
         .with_writer(Named::new(writer, vm));
-    // In one process with several roles the first one starts the log.
+    // In a process with several roles the first role starts the log.
     let _ = log.try_init();
     LogGuard(guard)
 }
 
-/// Writes lines that begin with the name of the VM, so that those of several processes can
-/// be told apart once they are merged.
+/// Writes lines that begin with the name of the VM, so that lines of several processes
+/// can be distinguished after merging.
 #[derive(Clone)]
 struct Named {
     inner: NonBlocking,
-    /// Takes the place of the brace that opens a line.
+    /// Replaces the opening brace of a line.
     head: Arc<str>,
 }
 
@@ -74,7 +74,7 @@
 }
 
 impl io::Write for Named {
-    /// Writes one whole line, as the formatter hands it over.
+    /// Writes one line; the formatter passes whole lines.
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         match line.split_first() {
             Some((b'{', rest)) => {
@@ -99,14 +99,14 @@
     }
 }
 
-/// Sends metrics to a statsd address, or nowhere.
+/// Sends metrics to a statsd address, if the settings name one.
 #[derive(Debug, Clone)]
 pub struct Metrics {
     client: Arc<StatsdClient>,
 }
 
 impl Metrics {
-    /// Opens the way to the address in the settings, if there is one.
+    /// Creates a client for the address in the settings, or one that drops all metrics.
     pub fn new(cfg: &TelemetryCfg) -> Self {
         let client = match udp_sink(&cfg.statsd) {
             Some(sink) => StatsdClient::from_sink(PREFIX, sink),
@@ -120,7 +120,7 @@
         self.client.count_with_tags(name, 1).with_tag(tag, value).send();
     }
 
-    /// Records how long something took.
+    /// Records a duration in milliseconds.
     pub fn time(&self, name: &str, took: Duration) {
         let _ = self.client.time(name, took.as_millis() as u64);
     }
@@ -136,12 +136,12 @@
     Some(QueuingMetricSink::from(sink))
 }
 
-/// Place of a request in a distributed trace, as in W3C Trace Context.
+/// Position of a request in a distributed trace, by W3C Trace Context.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TraceParent {
-    /// Hex digits of the whole trace.
+    /// Trace id in hex digits.
     pub trace: String,
-    /// Hex digits of the span of this hop.
+    /// Id of this hop's span in hex digits.
     pub span: String,
 }
 
@@ -149,7 +149,7 @@
 const SPAN_LEN: usize = 16;
 
 impl TraceParent {
-    /// Starts the span of this hop, within the trace of `header` if that is valid.
+    /// Starts the span of this hop, in the trace of `header` if that is valid.
     pub fn next(header: Option<&str>) -> Self {
         let trace = header.and_then(trace_of);
         let new = || format!("{:032x}", fastrand::u128(1..));
