--- a/crates/larkspring/src/exec.rs
+++ b/crates/larkspring/src/exec.rs
@@ -8,10 +8,10 @@
 use smol::{Executor, Task, Timer};
 
 static EXECUTOR: Executor<'static> = Executor::new();
-/// Threads of a command that runs a whole deployment.
+/// Number of threads of a command that runs a whole deployment.
 pub const DEPLOYMENT_THREADS: u32 = 4;
 
-/// Starts a task; dropping the handle cancels it.
+/// Starts a task; dropping the handle cancels the task.
 pub fn spawn<T: Send + 'static>(f: impl Future<Output = T> + Send + 'static) -> Task<T> {
     EXECUTOR.spawn(f)
 }
@@ -25,7 +25,7 @@
     async { Some(work.await) }.or(late).await
 }
 
-/// Runs `main` to its end with `threads` threads, one at least.
+/// Runs `main` to completion on `threads` threads, at least one.
 pub fn run<T>(threads: u32, main: impl Future<Output = T>) -> T {
     for _ in 1..threads {
         thread::spawn(|| smol::block_on(EXECUTOR.run(pending::<()>())));
@@ -33,7 +33,7 @@
     smol::block_on(EXECUTOR.run(main))
 }
 
-/// Hands the tasks of hyper to the executor.
+/// Runs hyper's tasks on the executor.
 #[derive(Debug, Clone, Copy)]
 pub struct HyperExecutor;
 
--- a/crates/larkspring/src/http/client.rs
+++ b/crates/larkspring/src/http/client.rs
@@ -1,4 +1,4 @@
-//! Requests to endpoints and the platform.
+//! HTTP client for endpoints and the platform.
 
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -13,20 +13,20 @@
 use crate::exec::within;
 
 quick_error! {
-    /// Why a request has no answer, with the peer.
+    /// Error of a request without an answer, with the peer's address.
     #[derive(Debug)]
     pub enum HttpError {
-        /// The address can't be read.
+        /// The address is invalid.
         Address(addr: String) { display("bad address `{addr}`") }
-        /// No connection; the peer got nothing of the request.
+        /// Connecting failed; the peer received nothing.
         Connect(addr: String, cause: String) { display("connect to {addr}: {cause}") }
-        /// The peer's VM answers, and no process there has the port.
+        /// Connection refused: the peer's VM is up, and no process listens on the port.
         Refused(addr: String) { display("connect to {addr}: no process has the port") }
-        /// The connection broke; the peer may have got the request.
+        /// The connection broke; the peer may have received the request.
         Exchange(addr: String, cause: String) { display("exchange with {addr}: {cause}") }
-        /// No answer in time; the peer may have got the request.
+        /// No answer in time; the peer may have received the request.
         Timeout(addr: String) { display("no answer from {addr} in time") }
-        /// The answer is over its limit, in bytes.
+        /// The answer exceeds `max` bytes.
         TooLarge(addr: String, max: usize) {
             display("the answer of {addr} is over {max} bytes")
         }
@@ -34,16 +34,16 @@
 }
 
 impl HttpError {
-    /// Whether it is proved that the peer got nothing.
+    /// Whether the peer certainly received nothing.
     pub fn nothing_sent(&self) -> bool {
         matches!(self, Self::Address(_) | Self::Connect(..) | Self::Refused(_))
     }
 }
 
-/// Most bytes of an answer that is read whole.
+/// Maximum size of a buffered answer, in bytes.
 pub const MAX_ANSWER: usize = 2 * 1024 * 1024;
 
-/// Builds a request to `addr`; `path` begins with a slash.
+/// Builds a request to `addr`; `path` must begin with a slash.
 pub fn request(method: Method, addr: &str, path: &str) -> Result<Request, HttpError> {
     let url = Url::parse(&format!("http://{addr}{path}"));
     let url = url.map_err(|_| HttpError::Address(addr.into()))?;
@@ -64,11 +64,12 @@
     Ok(sock)
 }
 
-/// Has the system drop what it has not delivered yet when the connection is closed.
+/// Makes the kernel discard undelivered data when the connection is closed.
 ///
-/// Else it goes on sending for minutes, and a request whose time is long up reaches a VM
-/// that comes back: a call of 100 KB arrived whole at a peer that read on after it had been
-/// given up. Whoever closes has read its answer or wants none.
+/// Otherwise the kernel retransmits for minutes, and a request whose deadline has long
+/// passed reaches a VM that resumes: a call of 100 KB can arrive complete at a peer that
+/// reads on after the call was abandoned. Discarding is safe, as a connection is closed
+/// only after its answer has been read or when no answer is wanted.
 fn forgets_unsent(sock: &TcpStream) -> io::Result<()> {
     Ok(set_socket_linger(sock, Some(Duration::ZERO))?)
 }
@@ -83,7 +84,7 @@
     res.map_err(|e| HttpError::Exchange(addr.into(), e.to_string()))
 }
 
-/// Sends a request and reads the whole answer within `limit`.
+/// Sends a request and reads the complete answer within `limit`.
 pub async fn fetch(
     addr: &str,
     req: Request,
@@ -99,7 +100,7 @@
     within(limit, work).await.unwrap_or_else(late)
 }
 
-/// Reads a body to its declared end.
+/// Reads a body and checks that it has the declared length.
 async fn read_whole(addr: &str, res: &mut Response) -> Result<Vec<u8>, HttpError> {
     let len = res.len();
     let mut body = Vec::new();
--- a/crates/larkspring/src/http/head.rs
+++ b/crates/larkspring/src/http/head.rs
@@ -1,45 +1,46 @@
-//! Checks of a request's head before the library reads it.
+//! Validation of a request's head before async-h1 parses the request.
 //!
-//! async-h1 closes the connection without an answer on some faults and accepts others;
-//! each is found here by `httparse`, so that it gets an answer of its own.
+//! async-h1 closes the connection without an answer on some faults and accepts others.
+//! Each is detected here with `httparse`, so that the caller gets a specific error
+//! response.
 
 use httparse::{Header, Request, Status, EMPTY_HEADER};
 use quick_error::quick_error;
 
-/// Most bytes of a head.
+/// Maximum size of a head, in bytes.
 pub const MAX_HEAD: usize = 8 * 1024;
 const MAX_HEADERS: usize = 64;
 
-/// What the connection needs to know of a whole head.
+/// The framing of a request, from its complete head.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Head {
-    /// Bytes of the head.
+    /// Length of the head in bytes.
     pub len: usize,
-    /// Bytes of the body that follows.
+    /// Length of the body in bytes.
     pub body_len: usize,
-    /// Whether the caller keeps the connection for more requests.
+    /// Whether the connection stays open for further requests.
     pub keep_alive: bool,
-    /// Whether the caller waits for a `100 Continue` before it sends the body.
+    /// Whether the caller waits for a `100 Continue` before sending the body.
     pub expects_continue: bool,
 }
 
 quick_error! {
-    /// Why a head is refused.
+    /// Error of a request that could not be read.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum HeadError {
-        /// The head is over its limit.
+        /// The head exceeds [`MAX_HEAD`] or has too many headers.
         HeadTooLarge { display("the head is over {MAX_HEAD} bytes") }
-        /// The body is over its limit, in bytes.
+        /// The body exceeds `max` bytes.
         BodyTooLarge(max: usize) { display("the body is over {max} bytes") }
-        /// The body has no length.
+        /// The body has no declared length.
         LengthRequired { display("the body needs a Content-Length") }
-        /// The version is not served.
+        /// The HTTP version is not supported.
         Version { display("only HTTP/1.1 is served") }
-        /// The head breaks the protocol.
+        /// The head violates the protocol.
         Malformed(what: &'static str) { display("malformed request: {what}") }
-        /// The request did not come whole in time.
+        /// The request did not arrive completely in time.
         Slow { display("the request did not come whole in time") }
-        /// The caller closed the connection in the middle of its request.
+        /// The caller closed the connection before the end of the request.
         Cut { display("the request was cut off") }
     }
 }
@@ -58,7 +59,7 @@
     }
 }
 
-/// Reads a head from the start of `buf`; `None` if more bytes are needed.
+/// Parses and validates the head at the start of `buf`; `None` if more bytes are needed.
 pub fn check(buf: &[u8], max_body: usize) -> Result<Option<Head>, HeadError> {
     let mut headers = [EMPTY_HEADER; MAX_HEADERS];
     let mut req = Request::new(&mut headers);
@@ -76,7 +77,7 @@
         return Err(HeadError::Version);
     }
     let headers = &*req.headers;
-    // http-types takes other bytes for a fault of the program.
+    // http-types treats other bytes as a programming error.
     if !buf[..len].is_ascii() {
         return Err(HeadError::Malformed("the head has other bytes than ASCII"));
     }
--- a/crates/larkspring/src/http/mod.rs
+++ b/crates/larkspring/src/http/mod.rs
@@ -1,13 +1,13 @@
-//! HTTP towards callers, endpoints and the platform, by async-h1.
+//! HTTP/1.1 with callers, endpoints and the platform, by async-h1.
 
 pub mod client;
 pub mod head;
 pub mod server;
 
-/// Scheme of an `Authorization` header that shows a key; its case does not matter.
+/// Scheme of an `Authorization` header with a key, compared without regard to case.
 const BEARER: &[u8] = b"bearer";
 
-/// Returns the key of an `Authorization` header; `None` if it shows none.
+/// Returns the key in an `Authorization` header; `None` if there is no key.
 pub fn bearer(value: &[u8]) -> Option<&[u8]> {
     let (scheme, key) = value.trim_ascii().split_at_checked(BEARER.len())?;
     let is_bearer = scheme.eq_ignore_ascii_case(BEARER) && key.starts_with(b" ");
--- a/crates/larkspring/src/http/server.rs
+++ b/crates/larkspring/src/http/server.rs
@@ -1,7 +1,8 @@
-//! Connections of callers: framing, limits and hang-ups around async-h1.
+//! HTTP server: framing, limits and disconnect detection around async-h1.
 //!
-//! Each request is read whole, within its limits, before async-h1 decodes it. While it
-//! is served the socket is watched, so that a caller's hang-up ends its work.
+//! Each request is read completely, within its limits, before async-h1 decodes it. While
+//! a request is served the socket is watched, so that the request is cancelled if the
+//! caller disconnects.
 
 use std::future::Future;
 use std::io;
@@ -25,24 +26,24 @@
 use super::head::{check, Head, HeadError};
 use crate::exec;
 
-/// Bounds of a connection.
+/// Limits of a server and its connections.
 #[derive(Debug, Clone)]
 pub struct Limits {
-    /// Bytes of a body.
+    /// Maximum size of a request body, in bytes.
     pub max_body: usize,
-    /// Time for a request to come whole.
+    /// Limit on the time until a request has arrived completely.
     pub read_timeout: Duration,
-    /// Time that a connection may wait between requests.
+    /// Longest time that a connection may be idle between requests.
     pub idle_timeout: Duration,
-    /// Time that a caller may take nothing of its answer.
+    /// Longest time that a caller may read nothing of its answer.
     pub stall_timeout: Duration,
-    /// Connections at a time.
+    /// Maximum number of open connections.
     pub max_connections: usize,
 }
 
-/// Answers requests.
+/// Handles requests.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request; dropped if the caller hangs up.
+    /// Answers one request; the future is dropped if the caller disconnects.
     fn handle(
         self: Arc<Self>,
         req: Request,
@@ -52,13 +53,13 @@
     /// Builds the answer to a request that could not be read.
     fn refuse(&self, error: &HeadError) -> Response;
 
-    /// Whether connections close after the answer under way.
+    /// Whether connections close after the current answer.
     fn stopping(&self) -> bool {
         false
     }
 }
 
-/// Accepts connections for ever; those over the limit are closed at once.
+/// Accepts connections and closes those over the limit at once; never returns.
 pub async fn serve<H: Handler>(listener: TcpListener, limits: Limits, handler: Arc<H>) {
     let limits = Arc::new(limits);
     let open = Arc::new(());
@@ -75,7 +76,7 @@
             let _ = sock.set_nodelay(true);
             let _ = set_socket_send_buffer_size(&sock, SEND_BUFFER);
             let mut conn = Connection { sock, peer, limits, buf: Vec::new() };
-            // A broken connection concerns its caller alone.
+            // An error of a connection affects only its caller.
             let _ = conn.run(handler).await;
             drop(open);
         })
@@ -83,22 +84,23 @@
     }
 }
 
-/// Bytes of an answer that the system holds for a caller that does not take them.
+/// Size of the socket's send buffer in bytes, which bounds the memory for a stalled
+/// caller.
 const SEND_BUFFER: usize = 64 * 1024;
 
 struct Connection {
     sock: TcpStream,
     peer: SocketAddr,
     limits: Arc<Limits>,
-    /// Bytes received and not yet served.
+    /// Bytes received and not yet processed.
     buf: Vec<u8>,
 }
 
 const READ_SIZE: usize = 4096;
-/// Bytes of an answer that are copied at a time.
+/// Size of the buffer for copying an answer, in bytes.
 const COPY_SIZE: usize = 2048;
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
-/// Pipelined bytes that are taken in while a request is served.
+/// Maximum number of pipelined bytes buffered while a request is served.
 const MAX_PIPELINED: usize = 16 * 1024;
 
 impl Connection {
@@ -120,7 +122,7 @@
         }
     }
 
-    /// Decodes a request and gets its answer; `None` if the caller has hung up.
+    /// Decodes a request and gets its answer; `None` if the caller has disconnected.
     async fn answer<H: Handler>(
         &mut self,
         message: Vec<u8>,
@@ -145,7 +147,7 @@
         Ok(work.or(gone).await)
     }
 
-    /// Sends an answer as it comes; false if the caller has hung up.
+    /// Sends an answer as it is produced; false if the caller has disconnected.
     async fn send(&mut self, method: Method, res: Response) -> io::Result<bool> {
         let mut encoder = async_h1::server::Encoder::new(res, method);
         let stall = self.limits.stall_timeout;
@@ -167,7 +169,7 @@
         copy.or(gone).await
     }
 
-    /// Reads the next request whole; `None` if the caller sends no more.
+    /// Reads the next complete request; `None` if the caller closes or idles too long.
     async fn next_message(
         &mut self,
     ) -> io::Result<Result<Option<(Head, Vec<u8>)>, HeadError>> {
@@ -219,7 +221,7 @@
     async fn read_some(&mut self) -> io::Result<usize> {
         let mut sock = self.sock.clone();
         poll_fn(|cx| {
-            // On the stack, so that no waiting connection holds the room.
+            // On the stack, so that a waiting connection holds no buffer.
             let mut chunk = [0; READ_SIZE];
             let n = ready!(Pin::new(&mut sock).poll_read(cx, &mut chunk))?;
             self.buf.extend_from_slice(&chunk[..n]);
@@ -228,7 +230,7 @@
         .await
     }
 
-    /// Returns when the caller closes its side or the connection breaks.
+    /// Waits until the caller closes its side or the connection breaks.
     async fn watch_hang_up(&mut self) {
         while self.buf.len() < MAX_PIPELINED {
             match self.read_some().await {
@@ -236,7 +238,7 @@
                 Ok(_) => {}
             }
         }
-        // A caller with that much pipelined is noticed when its answer is written.
+        // Beyond this limit a disconnect is detected when the answer is written.
         future::pending().await
     }
 
@@ -251,7 +253,8 @@
         self.linger().await
     }
 
-    /// Takes what the caller still sends, so that it can read the refusal.
+    /// Reads and discards further input for a while, so that the caller can read the
+    /// refusal before the connection is reset.
     async fn linger(&mut self) -> io::Result<()> {
         let _ = self.sock.shutdown(std::net::Shutdown::Write);
         let drain = async {
@@ -271,7 +274,7 @@
     Err(io::ErrorKind::TimedOut.into())
 }
 
-/// A request in memory, as async-h1 reads it; what it would write is dropped.
+/// A buffered request that async-h1 reads; writes are discarded.
 #[derive(Clone)]
 struct Message(Arc<Mutex<Cursor<Vec<u8>>>>);
 
--- a/crates/larkspring/src/lib.rs
+++ b/crates/larkspring/src/lib.rs
@@ -1,14 +1,15 @@
-//! The processes of larkspring, as a library; `larkspring-cli` is a thin program over it.
+//! The larkspring processes as a library; `larkspring-cli` is the program that runs them.
 //!
 //! The stages that a request passes:
 //!
-//! 1. [`http`]: a caller's request is read within its limits.
-//! 2. the entry: it is checked, its endpoint chosen and its answer relayed.
-//! 3. [`rpc`]: it goes to the endpoint's agent, and the answer comes back under credit.
-//! 4. the agent: it waits for its adapter, and runs on the engine or service.
+//! 1. [`http`]: the caller's request is read within limits.
+//! 2. [`entry`]: the request is checked, an endpoint is chosen and the answer is relayed.
+//! 3. [`rpc`]: the request goes to the endpoint's agent, and the answer returns under flow
+//!    control by credit.
+//! 4. [`agent`]: the request waits for its adapter and runs on the engine or service.
 //!
-//! On a platform that lists endpoints which have the last word themselves, [`direct`]
-//! takes the place of 2 to 4.
+//! On a platform whose endpoints decide themselves whether a request runs, [`direct`]
+//! replaces stages 2 to 4.
 
 pub mod agent;
 pub mod clock;
--- a/crates/larkspring/src/operate/declare.rs
+++ b/crates/larkspring/src/operate/declare.rs
@@ -1,4 +1,4 @@
-//! Declarations in YAML files, checked as a whole.
+//! Parsing and validation of declarations in YAML files.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write as _;
@@ -10,12 +10,12 @@
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why declarations are refused: one line for each fault.
+    /// Errors in declarations, one line for each.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum DeclareError {
         /// A file or folder can't be read.
         Read(path: String, cause: String) { display("{path}: {cause}") }
-        /// The declarations are faulty, a line each.
+        /// The declarations are invalid; one line for each error.
         Faults(lines: String) { display("{lines}") }
     }
 }
@@ -50,7 +50,7 @@
     parse(&texts)
 }
 
-/// Checks texts, each with the name of its file, as one declaration.
+/// Parses and validates texts, each with its file name, as one declaration.
 pub fn parse(texts: &[(String, String)]) -> Result<Chunk, DeclareError> {
     let mut check = Check { texts, faults: String::new() };
     let mut all = Chunk::default();
@@ -79,7 +79,7 @@
     all.endpoints.extend(chunk.endpoints);
 }
 
-/// Collects the faults of a declaration.
+/// Collects the errors of a declaration.
 struct Check<'a> {
     texts: &'a [(String, String)],
     faults: String,
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Notes a fault at the line that declares `name`.
+    /// Records an error at the line that declares `name`.
     fn fault(&mut self, name: &str, what: &str) {
         let (file, line) = self.find(name);
         let _ = writeln!(self.faults, "{file}:{line}: {what}");
--- a/crates/larkspring/src/operate/mod.rs
+++ b/crates/larkspring/src/operate/mod.rs
@@ -1,4 +1,4 @@
-//! Declarations of operators: read and checked from files, and written as one change.
+//! Operators' declarations: parsed and validated from files, and published as one change.
 
 pub mod declare;
 pub mod plan;
--- a/crates/larkspring/src/operate/plan.rs
+++ b/crates/larkspring/src/operate/plan.rs
@@ -1,9 +1,10 @@
-//! Plans: what an intent would change, kept in the object API until it is confirmed.
+//! Plans: the changes that a declaration would make, stored in the object API until the
+//! plan is confirmed.
 //!
-//! A plan is bound to the root that it was made from. Its chunks are written ahead; they
-//! are immutable and nothing names them before the confirmation, which is one conditional
-//! update of the root. The plan's id is the id of the change, so that confirming twice is
-//! the same as once.
+//! A plan is bound to the root from which it was made. Its chunks are written in advance;
+//! they are immutable and unreferenced until the confirmation, which is one conditional
+//! update of the root. The plan's id is the id of the change, so that confirmation is
+//! idempotent.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,39 +16,39 @@
 use crate::platform::objects::ObjectApi;
 use crate::platform::PlatformError;
 
-/// What an intent would change.
+/// The changes that a declaration would make.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// Its id, and that of the change.
+    /// Id of the plan and of its change.
     pub id: String,
-    /// Revision that it was made from.
+    /// Revision from which the plan was made.
     pub from: u64,
-    /// What would be added, changed and removed, by kind.
+    /// Items that would be added, changed and removed, by kind.
     pub changes: BTreeMap<String, KindChange>,
-    /// What it will cost.
+    /// Costs of the change: adapter loads, drains and lost rights.
     pub costs: Vec<String>,
-    /// What an operator should look at before confirming.
+    /// Warnings to be reviewed before confirmation.
     pub suspicious: Vec<String>,
-    /// Chunks of the state that it makes.
+    /// Hashes of the chunks of the planned state.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub chunks: Vec<String>,
 }
 
-/// Names of one kind that a plan touches.
+/// Names of the items of one kind that a plan changes.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct KindChange {
-    /// New ones.
+    /// Items that are added.
     pub added: Vec<String>,
-    /// Ones that are declared otherwise.
+    /// Items whose declaration changes.
     pub changed: Vec<String>,
-    /// Ones that go.
+    /// Items that are removed.
     pub removed: Vec<String>,
 }
 
-/// A removal of more than this share of a kind is suspicious.
+/// Share of the items of a kind above which a removal is listed as suspicious.
 const MASS_REMOVAL: f64 = 0.2;
 
-/// Makes a plan for `wanted` and keeps it.
+/// Makes a plan for `wanted` and stores it.
 pub async fn make(
     api: &dyn ObjectApi,
     wanted: &Chunk,
@@ -70,7 +71,7 @@
     }
 }
 
-/// Puts a plan into effect; returns the revision.
+/// Publishes a plan; returns the revision.
 pub async fn confirm(api: &dyn ObjectApi, id: &str) -> Result<u64, PublishError> {
     let refused = |e: PlatformError| PublishError::Refused(e.to_string());
     let from = present(api).await.map_err(refused)?;
@@ -85,14 +86,14 @@
     publish_root(api, &from, plan.chunks, id).await
 }
 
-/// Reads a kept plan.
+/// Reads a stored plan.
 pub async fn find(api: &dyn ObjectApi, id: &str) -> Result<Option<Plan>, PlatformError> {
     let Some(object) = api.get(&plan_name(id)).await? else { return Ok(None) };
     let plan = serde_json::from_slice(&object.value);
     plan.map(Some).map_err(|e| PlatformError::Answer("read a plan", e.to_string()))
 }
 
-/// Reads the whole declared state of a root.
+/// Reads the complete declared state of a root.
 pub async fn read_all(api: &dyn ObjectApi, root: &Root) -> Result<Chunk, PlatformError> {
     let step = "read a chunk";
     let mut all = Chunk::default();
@@ -111,7 +112,7 @@
     Ok(all)
 }
 
-/// Returns the present root with its whole state.
+/// Reads the current root and its complete declared state.
 pub async fn read_present(
     api: &dyn ObjectApi,
 ) -> Result<(Present, Chunk), PlatformError> {
--- a/crates/larkspring/src/operate/publish.rs
+++ b/crates/larkspring/src/operate/publish.rs
@@ -1,9 +1,9 @@
-//! Writing a declaration to the object API as one change of the root.
+//! Publishing a declaration to the object API as one change of the root.
 //!
-//! The declaration is cut into immutable chunks named by their content. A change writes
-//! the new chunks and then updates the root, on the condition that it is still the root
-//! that the change was made from. A lost reply is resolved by reading the root back: it
-//! lists the ids of its last changes.
+//! The declaration is split into immutable chunks named by their content hash. A change
+//! writes the new chunks and then updates the root, on the condition that the root is
+//! still the one from which the change was made. A lost reply is resolved by reading the
+//! root back, which lists the ids of the latest changes.
 
 use std::collections::BTreeSet;
 
@@ -15,43 +15,43 @@
 use crate::platform::objects::{ObjectApi, ObjectVersion};
 use crate::platform::PlatformError;
 
-/// Chunks of a declaration; at 49,000 adapters each holds about 5 KB, which is what one
-/// change sends to each process.
+/// Number of chunks of a declaration. With 49,000 adapters each holds about 5 KB, the
+/// amount that one change sends to each process.
 pub const CHUNKS: usize = 1024;
 /// Hex digits of a chunk's content hash, 128 bits of its SHA-256.
 const HASH_DIGITS: usize = 32;
-/// Change ids that the root keeps.
+/// Number of latest change ids kept in the root.
 const KEPT_CHANGES: usize = 64;
-/// Tries to find out whether a change with a lost reply took effect.
+/// Attempts to read the root back after a write with a lost reply.
 const READ_BACKS: u32 = 5;
 
 quick_error! {
-    /// Why a change is not known to be accepted.
+    /// Error of a change that was not accepted, or not confirmed as accepted.
     #[derive(Debug)]
     pub enum PublishError {
         /// The change is not accepted and has no effect.
         Refused(cause: String) { display("not accepted: {cause}") }
-        /// Another change came first: the revision now in the API.
+        /// Another change came first and made `revision`.
         Outdated(revision: u64) {
             display("not accepted: another change made revision {revision} first")
         }
-        /// It can't be found out now whether the change was accepted.
+        /// It is unknown whether the change was accepted.
         Unknown(change: String, cause: String) {
             display("unknown whether change {change} was accepted: {cause}")
         }
     }
 }
 
-/// The root as read, with its version in the object API.
+/// The root and its version in the object API.
 #[derive(Debug, Clone, Default)]
 pub struct Present {
-    /// Version of the object.
+    /// Version of the root object.
     pub version: ObjectVersion,
-    /// The root; the default one if there is none yet.
+    /// The root; empty if none exists yet.
     pub root: Root,
 }
 
-/// Reads the present root.
+/// Reads the current root.
 pub async fn present(api: &dyn ObjectApi) -> Result<Present, PlatformError> {
     let Some(object) = api.get(ROOT).await? else { return Ok(Present::default()) };
     let root = serde_json::from_slice(&object.value);
@@ -59,7 +59,8 @@
     Ok(Present { version: object.version, root })
 }
 
-/// Makes `all` the declared state, if the root is still `from`; returns its revision.
+/// Publishes `all` as the declared state if the root is still `from`; returns the
+/// revision.
 pub async fn publish(
     api: &dyn ObjectApi,
     from: &Present,
@@ -73,7 +74,8 @@
     publish_root(api, from, chunks, change).await
 }
 
-/// Writes the chunks of a declaration that `from` lacks; returns all their hashes.
+/// Writes the chunks of a declaration that `from` lacks; returns the hashes of all
+/// chunks.
 pub async fn write_chunks(
     api: &dyn ObjectApi,
     from: &Root,
@@ -93,7 +95,7 @@
     Ok(hashes)
 }
 
-/// Makes chunks that are written the declared state, if the root is still `from`.
+/// Publishes chunks that are already written, if the root is still `from`.
 pub async fn publish_root(
     api: &dyn ObjectApi,
     from: &Present,
@@ -108,7 +110,7 @@
     }
 }
 
-/// Cuts a declaration into chunks by the hash of each name.
+/// Splits a declaration into chunks by the hash of each name.
 pub fn split(all: &Chunk) -> Vec<Chunk> {
     let mut chunks = vec![Chunk::default(); CHUNKS];
     for adapter in &all.adapters {
@@ -134,7 +136,7 @@
     Root { revision: from.revision + 1, chunks, changes }
 }
 
-/// Writes an immutable chunk; one that is there already is as good.
+/// Writes an immutable chunk; succeeds if the chunk already exists.
 async fn write_chunk(
     api: &dyn ObjectApi,
     hash: &str,
@@ -149,7 +151,7 @@
     }
 }
 
-/// Finds out what became of a change whose write did not clearly succeed.
+/// Determines by reading the root whether a change was accepted after its write failed.
 async fn resolve(
     api: &dyn ObjectApi,
     change: &str,
--- a/crates/larkspring/src/platform/mod.rs
+++ b/crates/larkspring/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's services, each behind a trait with one client over HTTP.
+//! The platform's services, each a trait with an HTTP client.
 
 pub mod objects;
 pub mod vms;
@@ -10,29 +10,29 @@
 
 use crate::http::client::HttpError;
 
-/// A future that a trait of this module returns.
+/// Future returned by the traits of this module.
 pub type Answer<'a, T> =
     Pin<Box<dyn Future<Output = Result<T, PlatformError>> + Send + 'a>>;
 
 quick_error! {
-    /// Why a call to the platform failed, with the step and the peer.
+    /// Error of a call to the platform, with the step and the cause.
     #[derive(Debug)]
     pub enum PlatformError {
-        /// The call surely had no effect.
+        /// The call certainly had no effect.
         NoEffect(step: &'static str, cause: String) { display("{step}: {cause}") }
         /// The call may have taken effect.
         Unclear(step: &'static str, cause: String) {
             display("{step}: unclear whether it took effect: {cause}")
         }
-        /// The object was changed by someone else.
+        /// The object was changed concurrently.
         Conflict(step: &'static str) { display("{step}: changed by someone else") }
-        /// The answer makes no sense.
+        /// The answer could not be parsed or lacks data.
         Answer(step: &'static str, cause: String) { display("{step}: {cause}") }
     }
 }
 
 impl PlatformError {
-    /// Sorts a failed call by whether it may have taken effect.
+    /// Classifies a failed call by whether it may have taken effect.
     pub fn from_http(step: &'static str, e: HttpError) -> Self {
         match e.nothing_sent() {
             true => Self::NoEffect(step, e.to_string()),
--- a/crates/larkspring/src/platform/objects.rs
+++ b/crates/larkspring/src/platform/objects.rs
@@ -1,4 +1,4 @@
-//! The object API: named objects with versions, conditional updates and watches.
+//! The object API: named, versioned objects with conditional updates and watches.
 
 use std::time::Duration;
 
@@ -7,19 +7,20 @@
 use super::{Answer, PlatformError};
 use crate::http::client::{fetch, request};
 
-/// Version of an object, as the platform counts it; 0 stands for "does not exist".
+/// Version of an object, assigned by the platform; 0 means that the object does not
+/// exist.
 pub type ObjectVersion = u64;
 
 /// An object and its version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Object {
-    /// Its version.
+    /// The object's version.
     pub version: ObjectVersion,
-    /// Its value in bytes, a megabyte at most.
+    /// The object's value, at most a megabyte.
     pub value: Vec<u8>,
 }
 
-/// What larkspring needs of the object API.
+/// The operations of the object API that larkspring uses.
 pub trait ObjectApi: Send + Sync {
     /// Reads an object.
     fn get<'a>(&'a self, name: &'a str) -> Answer<'a, Option<Object>>;
@@ -35,7 +36,7 @@
     /// Removes an object if it still has version `expected`.
     fn delete<'a>(&'a self, name: &'a str, expected: ObjectVersion) -> Answer<'a, ()>;
 
-    /// Waits until an object is past version `seen`; `None` if it isn't within `limit`.
+    /// Waits until an object's version exceeds `seen`; `None` if that takes over `limit`.
     fn watch<'a>(
         &'a self,
         name: &'a str,
@@ -44,7 +45,7 @@
     ) -> Answer<'a, Option<Object>>;
 }
 
-/// The object API over HTTP.
+/// HTTP client of the object API.
 #[derive(Debug, Clone)]
 pub struct HttpObjects {
     addr: String,
@@ -150,7 +151,7 @@
     }
 }
 
-/// A refusal that the API sent itself: such a call had no effect.
+/// Builds the error for a call that the API refused, which had no effect.
 fn refused(step: &'static str, status: u16) -> PlatformError {
     PlatformError::NoEffect(step, format!("answered {status}"))
 }
--- a/crates/larkspring/src/platform/vms.rs
+++ b/crates/larkspring/src/platform/vms.rs
@@ -1,4 +1,5 @@
-//! The VM list: which VMs live and which are leaving; it lags.
+//! The list of VMs and whether they are leaving; the list may lag behind the actual
+//! state.
 
 use std::time::Duration;
 
@@ -8,22 +9,22 @@
 use super::{Answer, PlatformError};
 use crate::http::client::{fetch, request};
 
-/// One VM of the list.
+/// An item of the VM list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vm {
-    /// Its name.
+    /// The VM's name.
     pub name: String,
-    /// Whether it is about to go.
+    /// Whether the VM is about to be removed.
     pub leaving: bool,
 }
 
-/// What larkspring needs of the VM list.
+/// The operations of the VM list that larkspring uses.
 pub trait VmList: Send + Sync {
     /// Reads the list.
     fn list(&self) -> Answer<'_, Vec<Vm>>;
 }
 
-/// The VM list over HTTP.
+/// HTTP client of the VM list.
 #[derive(Debug, Clone)]
 pub struct HttpVms {
     addr: String,
--- a/crates/larkspring/src/rpc/channel.rs
+++ b/crates/larkspring/src/rpc/channel.rs
@@ -1,4 +1,4 @@
-//! Connections to other processes, opened on demand in a bounded pool.
+//! Connections to other processes, opened on demand and kept in a bounded pool.
 
 use std::collections::HashMap;
 use std::error::Error;
@@ -23,7 +23,7 @@
 use crate::exec::{self, HyperExecutor};
 use crate::http::client::{connect, HttpError};
 
-/// Connections by address, the least recently used closed first.
+/// Connections by address; the least recently used is evicted first.
 #[derive(Debug)]
 pub struct Pool {
     limit: usize,
@@ -31,7 +31,7 @@
     open: Mutex<HashMap<String, Slot>>,
 }
 
-/// An open connection that tonic's clients send on.
+/// An open connection, used as the channel of tonic clients.
 #[derive(Debug, Clone)]
 pub struct Channel {
     tx: SendRequest<Body>,
@@ -45,17 +45,17 @@
 }
 
 quick_error! {
-    /// Why a call got no answer.
+    /// Error of a call without an answer.
     #[derive(Debug)]
     pub enum CallError {
-        /// Nothing of the call was sent.
+        /// No part of the call was sent.
         NotSent { display("the connection closed before the call was sent") }
-        /// The peer may have got the call.
+        /// The peer may have received the call.
         Broken(cause: String) { display("the call broke off: {cause}") }
     }
 }
 
-/// Whether it is proved that the peer got nothing of a call that failed.
+/// Whether a failed call certainly did not reach the peer.
 pub fn nothing_sent(status: &Status) -> bool {
     let mut cause = status.source();
     while let Some(e) = cause {
@@ -73,7 +73,7 @@
         Self { limit, connect_timeout, open: Mutex::default() }
     }
 
-    /// Returns the connection to `addr`, which is opened if there is none.
+    /// Returns the connection to `addr`, opening one if none is open.
     pub async fn get(&self, addr: &str) -> Result<Channel, HttpError> {
         let slot = self.slot(addr);
         let mut slot = slot.lock().await;
@@ -85,12 +85,12 @@
         Ok(channel)
     }
 
-    /// Number of connections that are kept.
+    /// Returns the number of connections in the pool.
     pub fn len(&self) -> usize {
         self.open.lock().len()
     }
 
-    /// Whether no connection is kept.
+    /// Whether the pool holds no connection.
     pub fn is_empty(&self) -> bool {
         self.open.lock().is_empty()
     }
@@ -103,7 +103,7 @@
             return slot.channel.clone();
         }
         if open.len() >= self.limit {
-            // Streams on a connection that leaves the pool go on to their end.
+            // Streams on an evicted connection continue until they end.
             let oldest = open.iter().min_by_key(|(_, s)| s.used).map(|(a, _)| a.clone());
             oldest.and_then(|addr| open.remove(&addr));
         }
@@ -129,7 +129,7 @@
     let (tx, conn) =
         shaken.map_err(|e| HttpError::Connect(addr.into(), e.to_string()))?;
     exec::spawn(async move {
-        // Each stream on the connection learns of its end by itself.
+        // Each stream reports an error of the connection itself.
         let _ = conn.await;
     })
     .detach();
@@ -137,7 +137,7 @@
 }
 
 impl Channel {
-    /// Returns where calls on the connection go, as tonic's clients ask.
+    /// Returns the origin of calls on the connection, required by tonic clients.
     pub fn origin(&self) -> Uri {
         self.origin.clone()
     }
--- a/crates/larkspring/src/rpc/credit.rs
+++ b/crates/larkspring/src/rpc/credit.rs
@@ -1,24 +1,25 @@
-//! Flow control of one answer, end to end from the caller to the endpoint.
+//! End-to-end flow control of one answer, from the caller to the endpoint.
 //!
-//! The receiver grants units and the sender takes them. A message takes one unit for
+//! The receiver grants units and the sender spends them. A message costs one unit for
 //! each started 256 bytes, so units bound both the bytes and the frames in flight.
 
 use event_listener::Event;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
-/// Bytes that one unit stands for.
+/// Bytes per unit.
 pub const UNIT: usize = 256;
 /// Units granted at the start of an answer.
 pub const INITIAL_UNITS: u32 = 64;
-/// Most bytes of one message, so that a single one never exceeds the credit.
+/// Maximum size of one message in bytes, so that a single message never exceeds the
+/// credit.
 pub const MAX_CHUNK: usize = UNIT * INITIAL_UNITS as usize / 4;
 
-/// Returns the units that a message of `len` bytes takes.
+/// Returns the cost in units of a message of `len` bytes.
 pub fn units(len: usize) -> u32 {
     len.div_ceil(UNIT).max(1) as u32
 }
 
-/// Units that a sender may still use.
+/// Units that a sender may still spend.
 #[derive(Debug, Default)]
 pub struct Credit {
     left: AtomicU64,
@@ -33,18 +34,18 @@
         self.changed.notify(usize::MAX);
     }
 
-    /// Marks that the receiver is gone.
+    /// Marks that the receiver has disconnected.
     pub fn close(&self) {
         self.closed.store(true, Ordering::Release);
         self.changed.notify(usize::MAX);
     }
 
-    /// Whether the receiver is gone.
+    /// Whether the receiver has disconnected.
     pub fn is_closed(&self) -> bool {
         self.closed.load(Ordering::Acquire)
     }
 
-    /// Takes units as soon as there are enough; false if the receiver is gone.
+    /// Waits for and spends units; false if the receiver has disconnected.
     pub async fn take(&self, units: u32) -> bool {
         loop {
             let listener = self.changed.listen();
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Returns when the receiver is gone.
+    /// Waits until the receiver has disconnected.
     pub async fn closed(&self) {
         loop {
             let listener = self.changed.listen();
--- a/crates/larkspring/src/rpc/serve.rs
+++ b/crates/larkspring/src/rpc/serve.rs
@@ -1,4 +1,4 @@
-//! The serving side of calls between processes.
+//! RPC server.
 
 use std::convert::Infallible;
 use std::io;
@@ -19,7 +19,7 @@
 use super::{CONNECTION_WINDOW, PROBE_INTERVAL, PROBE_TIMEOUT, STREAM_WINDOW};
 use crate::exec::{self, within, HyperExecutor};
 
-/// Ends the connections of a server, each once its calls have ended.
+/// Handle for the graceful shutdown of a server.
 #[derive(Debug)]
 pub struct Stopper {
     stop: Sender<()>,
@@ -27,7 +27,8 @@
 }
 
 impl Stopper {
-    /// Takes no more calls and waits, up to `grace`, until those under way have ended.
+    /// Refuses new calls and waits, up to `grace`, until the calls in progress have
+    /// ended.
     pub async fn stop(self, grace: Duration) {
         self.stop.close();
         // The channel closes when the last connection has ended.
--- a/crates/larkspring/src/stop.rs
+++ b/crates/larkspring/src/stop.rs
@@ -1,25 +1,26 @@
-//! The signals that a process heeds.
+//! Handling of process signals.
 
 use std::io;
 
 use async_signal::{Signal, Signals};
 use futures_lite::StreamExt;
 
-/// What a signal asks of a process.
+/// Action requested by a signal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Asked {
-    /// To stop as planned: SIGTERM or SIGINT.
+    /// Shut down gracefully: SIGTERM or SIGINT.
     Stop,
-    /// To read its settings again: SIGHUP.
+    /// Read the settings again: SIGHUP.
     Reload,
 }
 
-/// The signals sent to this process from now on.
+/// The signals received since [`Requests::new`].
 #[derive(Debug)]
 pub struct Requests(Signals);
 
 impl Requests {
-    /// Takes the signals over, so that none of them ends the process by itself.
+    /// Installs handlers for the signals, which then no longer end the process by
+    /// default.
     pub fn new() -> io::Result<Self> {
         let signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup])?;
         Ok(Self(signals))
@@ -34,7 +35,7 @@
     }
 }
 
-/// Waits for a signal to stop; there is nothing to reload.
+/// Waits for a signal to stop; a request to reload is only logged.
 pub async fn requested() -> io::Result<()> {
     let mut requests = Requests::new()?;
     while requests.next().await == Asked::Reload {
--- a/crates/larkspring/src/wire.rs
+++ b/crates/larkspring/src/wire.rs
@@ -1,4 +1,4 @@
-//! Conversions between messages and the types of the core.
+//! Conversions between RPC messages and core types.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
     }
 }
 
-/// Converts a refusal of an agent from its message.
+/// Converts an agent's refusal from its message.
 pub fn refusal_from_wire(r: wire::Refusal, peer: &str) -> Refusal {
     let retry_after =
         (r.retry_after_ms > 0).then(|| Duration::from_millis(r.retry_after_ms));
@@ -32,7 +32,7 @@
     }
 }
 
-/// Converts a hint from its message.
+/// Converts a load report from its message.
 pub fn hint_from_wire(hint: wire::Hint) -> route::Hint {
     route::Hint {
         running: hint.running,
--- a/crates/larkspring/tests/clock.rs
+++ b/crates/larkspring/tests/clock.rs
@@ -1,4 +1,4 @@
-//! Ages that prove something go on while the VM is suspended.
+//! Ages of freshness proofs include the time during which the VM is suspended.
 
 use std::time::{Duration, Instant};
 
@@ -6,8 +6,9 @@
 use larkspring::direct::beliefs::Beliefs;
 use larkspring::direct::edge::Kind;
 
-/// A view of the keys that was new before a suspension is old after it, though the steady
-/// clock stood still: an entry that served on by it would serve keys taken away meanwhile.
+/// Guards against an entry that keeps serving from its view of the keys after a suspension:
+/// the monotonic clock stops meanwhile, so the view would seem fresh, and keys removed during
+/// the suspension would still be accepted.
 #[test]
 fn a_view_of_the_keys_ages_while_the_vm_is_suspended() {
     const SUSPENDED: Duration = Duration::from_secs(60);
@@ -18,7 +19,7 @@
     assert!(steady.elapsed() < SUSPENDED);
     assert!(before.elapsed() >= SUSPENDED);
     assert!(beliefs.proof_age(Kind::Routing).is_some_and(|age| age >= SUSPENDED));
-    // A proof that was on its way meanwhile is as old as the call that brought it.
+    // A proof in transit during the suspension is as old as the call that brought it.
     beliefs.proved(Kind::Routing, before);
     assert!(beliefs.proof_age(Kind::Routing).is_some_and(|age| age >= SUSPENDED));
     beliefs.proved(Kind::Routing, Moment::now());
--- a/crates/larkspring/tests/fence.rs
+++ b/crates/larkspring/tests/fence.rs
@@ -1,4 +1,4 @@
-//! The epoch of an endpoint, against a fake of the object API with its faults.
+//! The epoch of an endpoint, tested with a fake object API that injects faults.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -8,7 +8,7 @@
 use larkspring::platform::objects::{Object, ObjectApi, ObjectVersion};
 use larkspring::platform::{Answer, PlatformError};
 
-/// Objects in memory, with an outage and replies that get lost.
+/// An object API in memory, with outages and lost replies.
 #[derive(Clone, Default)]
 struct Fake(Arc<Mutex<State>>);
 
@@ -87,7 +87,7 @@
         assert!(old.is_held().await);
         let second = new.take().await;
         assert!(second > first);
-        // As after a pause: the old one still has its epoch, and asks.
+        // As after a pause of the old agent: it still has its epoch, and checks it.
         assert_eq!(old.epoch(), first);
         assert!(!old.is_held().await);
         assert!(new.is_held().await);
--- a/crates/larkspring/tests/head.rs
+++ b/crates/larkspring/tests/head.rs
@@ -1,4 +1,4 @@
-//! Heads of requests: what is refused, and that no bytes do harm.
+//! Validation of request heads: which are refused, and that no input causes a panic.
 
 use larkspring::http::head::{check, Head, HeadError, MAX_HEAD};
 use proptest::prelude::*;
--- a/crates/larkspring/tests/parse.rs
+++ b/crates/larkspring/tests/parse.rs
@@ -1,5 +1,5 @@
-//! Text and bytes from outside: whatever they are, reading them ends with a value or an
-//! error that names a line.
+//! Parsing of external text and bytes: any input gives a value or an error; errors in
+//! settings and declarations name a line.
 
 use larkspring::operate::declare;
 use larkspring::settings;
@@ -17,7 +17,7 @@
     }
 }
 
-/// Lines that look like settings or declarations more often than not.
+/// Generates lines that mostly resemble settings or declarations.
 fn yaml() -> impl Strategy<Value = String> {
     let key = prop::sample::select(vec![
         "hall",
@@ -50,7 +50,7 @@
     prop::collection::vec(line, 0..12).prop_map(|lines| lines.concat())
 }
 
-/// Whether each line of an error begins with the file and a line.
+/// Whether the first line of an error begins with the file and a line number.
 fn names_a_line(error: &str) -> bool {
     let first = error.lines().next().unwrap_or_default();
     first.strip_prefix("file:").is_some_and(|rest| rest.starts_with(char::is_numeric))
