--- a/crates/larkspring/src/agent/endpoint.rs
+++ b/crates/larkspring/src/agent/endpoint.rs
@@ -18,7 +18,7 @@
 
 use super::backend::{Backend, Report};
 use super::fence::Fence;
-use super::gate::Gate;
+use super::load_permits::LoadPermits;
 use crate::exec::{self, within};
 use crate::in_force::InForce;
 use crate::settings::AgentCfg;
@@ -42,14 +42,14 @@
     pub metrics: Metrics,
     /// The endpoint's epoch.
     pub fence: Fence,
-    gate: Gate,
+    load_permits: LoadPermits,
 }
 
 /// Whether a waiting request may run.
 type Verdict = Result<(), Refusal>;
 
 /// A request's place in the queue and then in the engine, released when dropped.
-pub struct Place {
+pub struct RequestSlot {
     endpoint: Arc<Endpoint>,
     /// The id of the request at this agent.
     pub id: AttemptId,
@@ -61,7 +61,7 @@
 }
 
 /// Pause after an order that could not be sent.
-const ORDER_PAUSE: Duration = Duration::from_secs(1);
+const SKIPPED_ORDER_PAUSE: Duration = Duration::from_secs(1);
 /// Interval between cancel calls for a request until the engine confirms.
 const CANCEL_INTERVAL: Duration = Duration::from_millis(200);
 
@@ -73,7 +73,7 @@
         in_force: Arc<InForce>,
         metrics: Metrics,
         fence: Fence,
-        gate: Gate,
+        load_permits: LoadPermits,
     ) -> Self {
         Self {
             slots: Mutex::new(Slots::new(super::limits(&cfg))),
@@ -86,7 +86,7 @@
             in_force,
             metrics,
             fence,
-            gate,
+            load_permits,
             cfg,
         }
     }
@@ -112,7 +112,7 @@
 
     /// Whether this agent may send orders now. An engine that checks epochs rejects stale
     /// orders itself; for any other endpoint the epoch is read again.
-    async fn may_order(&self) -> bool {
+    async fn may_send_orders(&self) -> bool {
         let state = self.in_force.state();
         let checks = state.endpoint(self.name()).is_some_and(|e| e.checks_fences);
         checks || self.fence.is_held().await
@@ -123,8 +123,8 @@
         format!("{}-{}-{id}", self.name(), self.fence.epoch())
     }
 
-    /// Queues a request, which waits until [`Place::granted`].
-    pub fn enter(self: &Arc<Self>, req: Waiting) -> Result<Place, Refusal> {
+    /// Queues a request, which waits until [`RequestSlot::wait_granted`].
+    pub fn enqueue(self: &Arc<Self>, req: Waiting) -> Result<RequestSlot, Refusal> {
         let id = self.next.fetch_add(1, Ordering::Relaxed);
         let (tx, verdict) = bounded(1);
         self.verdicts.lock().insert(id, tx);
@@ -132,12 +132,18 @@
         let resident = admitted.inspect_err(|_| {
             self.verdicts.lock().remove(&id);
         })?;
-        self.drive();
-        Ok(Place { endpoint: self.clone(), id, verdict, resident, in_engine: false })
+        self.run_scheduler();
+        Ok(RequestSlot {
+            endpoint: self.clone(),
+            id,
+            verdict,
+            resident,
+            in_engine: false,
+        })
     }
 
     /// Executes the actions that the scheduler returns for the current state.
-    pub fn drive(self: &Arc<Self>) {
+    pub fn run_scheduler(self: &Arc<Self>) {
         let actions = self.slots.lock().schedule(Instant::now());
         for action in actions {
             match action {
@@ -145,15 +151,15 @@
                 Action::Unload(target) => {
                     exec::spawn(self.clone().unload(target)).detach()
                 }
-                Action::Start(id) => self.decide(id, Ok(())),
-                Action::Refuse(id, refusal) => self.decide(id, Err(refusal)),
+                Action::Start(id) => self.send_verdict(id, Ok(())),
+                Action::Refuse(id, refusal) => self.send_verdict(id, Err(refusal)),
             }
         }
         self.changed.notify(usize::MAX);
     }
 
     /// Applies a report of the engine.
-    pub fn reported(self: &Arc<Self>, report: &Report) {
+    pub fn apply_report(self: &Arc<Self>, report: &Report) {
         let own = format!("{}-{}-", self.name(), self.fence.epoch());
         let foreign = |name: &str| {
             let of_adapter = report.running.iter().filter(|r| r.adapter == name);
@@ -166,19 +172,19 @@
         let held: Vec<_> = held.collect();
         let run = Incarnation::from(report.incarnation.as_str());
         self.slots.lock().engine_is(Instant::now(), &run, &held);
-        self.drive();
+        self.run_scheduler();
     }
 
     /// Records that the engine could not be reached.
-    pub fn unreachable(self: &Arc<Self>) {
+    pub fn mark_unreachable(self: &Arc<Self>) {
         self.slots.lock().engine_lost();
-        self.drive();
+        self.run_scheduler();
     }
 
     /// Records that an adapter is not resident in the engine.
-    pub fn lost(self: &Arc<Self>, target: &Target) {
+    pub fn mark_not_resident(self: &Arc<Self>, target: &Target) {
         self.slots.lock().lost(target);
-        self.drive();
+        self.run_scheduler();
     }
 
     /// Returns the run of the engine; `None` if unknown.
@@ -189,17 +195,17 @@
     /// Refuses new requests from now on, as the agent is stopping.
     pub fn stop(self: &Arc<Self>) {
         self.stopping.store(true, Ordering::Release);
-        self.follow_leaving();
+        self.update_draining();
     }
 
     /// Starts or stops draining by the agent's state, the declared state and the VM list.
-    pub fn follow_leaving(self: &Arc<Self>) {
-        self.slots.lock().drain(self.is_leaving());
-        self.drive();
+    pub fn update_draining(self: &Arc<Self>) {
+        self.slots.lock().drain(self.is_draining());
+        self.run_scheduler();
     }
 
     /// Whether the endpoint is draining, by its agent's stop, its declaration or its VM.
-    pub fn is_leaving(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         let state = self.in_force.state();
         let declared = state.endpoint(self.name());
         self.stopping.load(Ordering::Acquire)
@@ -208,7 +214,7 @@
     }
 
     /// Waits, up to `limit`, until no request is waiting or running.
-    pub async fn idle(&self, limit: Duration) {
+    pub async fn wait_idle(&self, limit: Duration) {
         let idle = async {
             loop {
                 let listener = self.changed.listen();
@@ -223,7 +229,7 @@
 
     /// Returns the load report for entries.
     pub fn hint(&self) -> Hint {
-        let leaving = self.is_leaving();
+        let leaving = self.is_draining();
         let slots = self.slots.lock();
         Hint {
             running: slots.running() as u32,
@@ -239,11 +245,11 @@
         let state = self.in_force.state();
         let demand = self.slots.lock().demand(&target).unwrap_or_default();
         let load = format!("{}/{target}", self.name());
-        let permit = self.gate.pass(load, demand, state.engine_count()).await;
+        let permit = self.load_permits.acquire(load, demand, state.engine_count()).await;
         if self.slots.lock().demand(&target).is_none() {
             self.slots.lock().not_loaded(&target);
-            self.gate.done(permit).await;
-            return self.drive();
+            self.load_permits.release(permit).await;
+            return self.run_scheduler();
         }
         let started = Instant::now();
         let ok = match state.weights(&target) {
@@ -254,13 +260,13 @@
         self.metrics.count("loads", "outcome", outcome);
         self.metrics.time("load_time", started.elapsed());
         self.slots.lock().loaded(Instant::now(), &target, ok);
-        self.drive();
-        self.gate.done(permit).await;
+        self.run_scheduler();
+        self.load_permits.release(permit).await;
     }
 
     /// Loads an adapter and checks that the same run of the engine loaded that adapter.
     async fn load_checked(&self, target: &Target, weights: &str) -> bool {
-        if !self.may_order().await {
+        if !self.may_send_orders().await {
             tracing::warn!(adapter = %target, "not loaded: another agent may hold the epoch");
             return false;
         }
@@ -283,41 +289,45 @@
     }
 
     async fn unload(self: Arc<Self>, target: Target) {
-        if !self.may_order().await {
+        if !self.may_send_orders().await {
             tracing::warn!(adapter = %target, "not unloaded: another agent may hold the epoch");
             self.slots.lock().unloaded(Instant::now(), &target, false);
             // No call was made, so without a pause the next attempt would follow at once.
-            Timer::after(ORDER_PAUSE).await;
-            return self.drive();
+            Timer::after(SKIPPED_ORDER_PAUSE).await;
+            return self.run_scheduler();
         }
         let done = self.backend.unload(&target, self.fence.epoch()).await;
         if let Err(e) = &done {
             tracing::warn!(adapter = %target, error = %e, "unload failed");
         }
         self.slots.lock().unloaded(Instant::now(), &target, done.is_ok());
-        self.drive();
+        self.run_scheduler();
     }
 
-    fn decide(&self, id: AttemptId, verdict: Verdict) {
+    fn send_verdict(&self, id: AttemptId, verdict: Verdict) {
         if let Some(tx) = self.verdicts.lock().remove(&id) {
             let _ = tx.try_send(verdict);
         }
     }
 
     /// Removes a request of which the engine holds no state.
-    fn leave(self: &Arc<Self>, id: AttemptId) {
+    fn remove_request(self: &Arc<Self>, id: AttemptId) {
         self.verdicts.lock().remove(&id);
         let mut slots = self.slots.lock();
         if !slots.abandon(id) {
             slots.ended(Instant::now(), id);
         }
         drop(slots);
-        self.drive();
+        self.run_scheduler();
     }
 
     /// Cancels a request at the engine and keeps its adapter pinned until the engine
     /// confirms or restarts.
-    async fn end_surely(self: Arc<Self>, id: AttemptId, run: Option<Incarnation>) {
+    async fn cancel_until_confirmed(
+        self: Arc<Self>,
+        id: AttemptId,
+        run: Option<Incarnation>,
+    ) {
         let name = self.request_id(id);
         while self.incarnation() == run {
             if self.backend.cancel(&name).await.is_ok() {
@@ -325,13 +335,13 @@
             }
             Timer::after(CANCEL_INTERVAL).await;
         }
-        self.leave(id);
+        self.remove_request(id);
     }
 }
 
-impl Place {
+impl RequestSlot {
     /// Waits until the request may run or is refused.
-    pub async fn granted(&self) -> Verdict {
+    pub async fn wait_granted(&self) -> Verdict {
         match self.verdict.recv().await {
             Ok(verdict) => verdict,
             Err(_) => Ok(()),
@@ -339,25 +349,25 @@
     }
 
     /// Marks that the engine may hold state of the request.
-    pub fn entered_engine(&mut self) {
+    pub fn mark_in_engine(&mut self) {
         self.in_engine = true;
     }
 
     /// Marks that the engine holds no state of the request.
-    pub fn left_engine(&mut self) {
+    pub fn mark_out_of_engine(&mut self) {
         self.in_engine = false;
     }
 }
 
-impl Drop for Place {
+impl Drop for RequestSlot {
     fn drop(&mut self) {
         let endpoint = self.endpoint.clone();
         match self.in_engine && endpoint.service().is_none() {
             true => {
                 let run = endpoint.incarnation();
-                exec::spawn(endpoint.end_surely(self.id, run)).detach();
+                exec::spawn(endpoint.cancel_until_confirmed(self.id, run)).detach();
             }
-            false => endpoint.leave(self.id),
+            false => endpoint.remove_request(self.id),
         }
     }
 }
--- a/crates/larkspring/src/agent/fence.rs
+++ b/crates/larkspring/src/agent/fence.rs
@@ -18,8 +18,8 @@
 }
 
 /// Initial and maximum pause after a failed attempt to take an epoch.
-const FIRST_RETRY: Duration = Duration::from_millis(250);
-const LONGEST_RETRY: Duration = Duration::from_secs(5);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
 
 impl Fence {
     /// Creates the fence of an endpoint, without an epoch.
@@ -41,7 +41,7 @@
                 Ok(epoch) => return epoch,
                 Err(e) => tracing::warn!(error = %e, "epoch not taken, retrying"),
             }
-            let wait = backoff(FIRST_RETRY, LONGEST_RETRY, failures, &mut rng);
+            let wait = backoff(INITIAL_BACKOFF, MAX_BACKOFF, failures, &mut rng);
             failures += 1;
             Timer::after(wait).await;
         }
--- a/crates/larkspring/src/agent/job.rs
+++ b/crates/larkspring/src/agent/job.rs
@@ -18,7 +18,7 @@
 use tracing::Instrument;
 
 use super::backend::{ADAPTER, INCARNATION, PRIORITY, REQUEST};
-use super::endpoint::{Endpoint, Place};
+use super::endpoint::{Endpoint, RequestSlot};
 use super::poll::SERVICE_VERSION;
 use super::START_TIMEOUT;
 use crate::exec::{self, within};
@@ -34,10 +34,10 @@
 const EVENT_STREAM: &str = "text/event-stream";
 /// Attempts to get the rest of an answer after the connection broke.
 const MAX_RESUMES: u32 = 2;
-const RESUME_WAIT: Duration = Duration::from_millis(50);
+const RESUME_DELAY: Duration = Duration::from_millis(50);
 /// Maximum time that a request waits for the declared state used by its entry: the time
 /// within which a change is to be in force everywhere.
-const CATCH_UP: Duration = Duration::from_secs(4);
+const MAX_REVISION_WAIT: Duration = Duration::from_secs(4);
 
 /// Serves one call of an entry until the call ends.
 pub async fn run(endpoint: Arc<Endpoint>, mut up: Streaming<DispatchUp>, down: Down) {
@@ -82,14 +82,14 @@
 }
 
 /// Why a request ends before its answer is complete.
-enum Stop {
+enum Abort {
     /// The entry ended the call; no answer is needed.
-    Gone,
+    EntryGone,
     /// The refusal is sent to the entry.
     Refused(Refusal),
 }
 
-impl From<Refusal> for Stop {
+impl From<Refusal> for Abort {
     fn from(refusal: Refusal) -> Self {
         Self::Refused(refusal)
     }
@@ -116,21 +116,21 @@
         let deadline = Instant::now() + Duration::from_millis(self.start.deadline_ms);
         match self.serve(deadline).await {
             Ok(()) => self.endpoint.metrics.count("requests", "outcome", "ok"),
-            Err(Stop::Gone) => {
+            Err(Abort::EntryGone) => {
                 self.endpoint.metrics.count("requests", "outcome", "gone");
                 tracing::info!("request cancelled: the entry ended the call");
             }
-            Err(Stop::Refused(refusal)) => {
+            Err(Abort::Refused(refusal)) => {
                 let outcome = refusal.outcome.name();
                 self.endpoint.metrics.count("requests", "outcome", outcome);
                 tracing::info!(%refusal, "refused");
                 let refusal = refusal_to_wire(refusal, Some(self.endpoint.hint()));
-                let _ = self.tell(dispatch_down::Kind::Refusal(refusal)).await;
+                let _ = self.send_message(dispatch_down::Kind::Refusal(refusal)).await;
             }
         }
     }
 
-    async fn serve(&self, deadline: Instant) -> Result<(), Stop> {
+    async fn serve(&self, deadline: Instant) -> Result<(), Abort> {
         let target = self.target(deadline).await?;
         let since = Instant::now();
         let waiting = Waiting {
@@ -141,21 +141,22 @@
             due: deadline,
             worth: 1.0,
         };
-        let mut place = self.endpoint.enter(waiting)?;
+        let mut slot = self.endpoint.enqueue(waiting)?;
         let late = || late(Step::Queue, Refusal::not_run);
-        self.bounded(deadline, late, async { Ok(place.granted().await?) }).await?;
-        let load_wait = if place.resident { Duration::ZERO } else { since.elapsed() };
+        self.with_deadline(deadline, late, async { Ok(slot.wait_granted().await?) })
+            .await?;
+        let load_wait = if slot.resident { Duration::ZERO } else { since.elapsed() };
         // Boxed, so that the memory of this step is freed before the relay, the longest
         // step.
-        let mut res = Box::pin(self.send(&mut place, &target, deadline)).await?;
+        let mut res = Box::pin(self.send(&mut slot, &target, deadline)).await?;
         let mut answer = Answer::new(&res);
         self.begin(&res, load_wait).await?;
         answer.body = res.take_body();
-        self.relay(&mut place, answer, deadline).await?;
-        place.left_engine();
-        drop(place);
+        self.relay(&mut slot, answer, deadline).await?;
+        slot.mark_out_of_engine();
+        drop(slot);
         let end = End { hint: Some(self.endpoint.hint()) };
-        self.tell(dispatch_down::Kind::End(end)).await
+        self.send_message(dispatch_down::Kind::End(end)).await
     }
 
     /// Returns the requested adapter version once it is declared in this process too.
@@ -167,7 +168,7 @@
             return Err(Refusal::not_run(Step::Resolve, "the request names no target"));
         };
         let target = Target::new(&model.adapter, &model.version);
-        self.catch_up(deadline).await;
+        self.wait_for_revision(deadline).await;
         match self.endpoint.in_force.state().weights(&target) {
             Some(_) => Ok(target),
             None => {
@@ -180,7 +181,7 @@
 
     /// Waits for the revision of the declared state that the entry used, as a change may
     /// reach the entry first.
-    async fn catch_up(&self, deadline: Instant) {
+    async fn wait_for_revision(&self, deadline: Instant) {
         let (in_force, wanted) = (&self.endpoint.in_force, self.start.revision);
         let known = in_force.state().revision;
         if known >= wanted {
@@ -188,20 +189,20 @@
         }
         tracing::info!(known, wanted, "the request waits for the declared state");
         let left = deadline.saturating_duration_since(Instant::now());
-        within(left.min(CATCH_UP), in_force.reached(wanted)).await;
+        within(left.min(MAX_REVISION_WAIT), in_force.wait_for_revision(wanted)).await;
     }
 
     /// Sends the request and checks that the expected adapter and run begin to answer.
     async fn send(
         &self,
-        place: &mut Place,
+        slot: &mut RequestSlot,
         target: &Target,
         deadline: Instant,
-    ) -> Result<Response, Stop> {
+    ) -> Result<Response, Abort> {
         let run = self.endpoint.incarnation();
-        let req = self.request(place)?;
+        let req = self.request(slot)?;
         let sock = self.endpoint.backend.connect().await.map_err(|e| {
-            self.endpoint.unreachable();
+            self.endpoint.mark_unreachable();
             let refusal = Refusal::not_run(Step::Send, e.to_string()).elsewhere();
             refusal.retry_after(Duration::from_secs(1))
         })?;
@@ -209,21 +210,21 @@
             let text = "the engine restarted before the request was sent";
             return Err(Refusal::not_run(Step::Send, text).elsewhere().into());
         }
-        place.entered_engine();
+        slot.mark_in_engine();
         let late = || late(Step::Begin, Refusal::unknown);
         let exchange = async {
             let sent = self.endpoint.backend.send(sock, req).await;
-            sent.map_err(|e| Stop::from(Refusal::unknown(Step::Begin, e.to_string())))
+            sent.map_err(|e| Abort::from(Refusal::unknown(Step::Begin, e.to_string())))
         };
-        let res = self.bounded(deadline, late, exchange).await?;
-        self.check(place, &res, target, run.as_deref())?;
+        let res = self.with_deadline(deadline, late, exchange).await?;
+        self.check(slot, &res, target, run.as_deref())?;
         Ok(res)
     }
 
     /// Checks the head of an answer.
     fn check(
         &self,
-        place: &mut Place,
+        slot: &mut RequestSlot,
         res: &Response,
         target: &Target,
         run: Option<&str>,
@@ -233,9 +234,9 @@
         }
         let status = res.status() as u16;
         if let 404 | 429 | 503 = status {
-            place.left_engine();
+            slot.mark_out_of_engine();
             if status == 404 {
-                self.endpoint.lost(target);
+                self.endpoint.mark_not_resident(target);
             }
             let text = format!("the engine did not take the request: {status}");
             let refusal = Refusal::not_run(Step::Begin, text).elsewhere();
@@ -253,7 +254,7 @@
         Err(Refusal::failed(Step::Begin, text).elsewhere())
     }
 
-    fn request(&self, place: &Place) -> Result<Request, Refusal> {
+    fn request(&self, slot: &RequestSlot) -> Result<Request, Refusal> {
         let backend = &self.endpoint.backend;
         let built = match (&self.start.model, &self.start.service) {
             (Some(model), _) => backend.model_request(model),
@@ -265,7 +266,7 @@
         };
         let built = built.map_err(|e| Refusal::not_run(Step::Send, e.to_string()));
         let mut req = built?;
-        req.insert_header(REQUEST, self.endpoint.request_id(place.id));
+        req.insert_header(REQUEST, self.endpoint.request_id(slot.id));
         req.insert_header(PRIORITY, self.start.priority.to_string());
         req.insert_header("traceparent", self.trace.to_string());
         if !self.start.body.is_empty() {
@@ -275,7 +276,7 @@
         Ok(req)
     }
 
-    async fn begin(&self, res: &Response, load_wait: Duration) -> Result<(), Stop> {
+    async fn begin(&self, res: &Response, load_wait: Duration) -> Result<(), Abort> {
         let content_type = res.header("content-type").map(|v| v.as_str().to_owned());
         let begin = Begin {
             status: (res.status() as u16).into(),
@@ -283,24 +284,26 @@
             hint: Some(self.endpoint.hint()),
             load_wait_us: load_wait.as_micros() as u64,
         };
-        self.tell(dispatch_down::Kind::Begin(begin)).await
+        self.send_message(dispatch_down::Kind::Begin(begin)).await
     }
 
     /// Relays an answer to its end; an engine's interrupted stream is resumed.
     async fn relay(
         &self,
-        place: &mut Place,
+        slot: &mut RequestSlot,
         mut answer: Answer,
         deadline: Instant,
-    ) -> Result<(), Stop> {
+    ) -> Result<(), Abort> {
         let mut resumes = 0;
         loop {
             let late = || late(Step::Stream, Refusal::failed);
-            let broken = match self.bounded(deadline, late, self.copy(&mut answer)).await
+            let broken = match self
+                .with_deadline(deadline, late, self.relay_body(&mut answer))
+                .await
             {
-                Ok(()) if answer.is_whole() => return Ok(()),
+                Ok(()) if answer.is_complete() => return Ok(()),
                 Ok(()) => "the answer was cut off".to_owned(),
-                Err(Stop::Refused(r)) if r.elsewhere => r.message,
+                Err(Abort::Refused(r)) if r.elsewhere => r.message,
                 Err(stop) => return Err(stop),
             };
             resumes += 1;
@@ -309,14 +312,14 @@
                 return Err(Refusal::failed(Step::Stream, broken).into());
             }
             tracing::info!(offset = answer.sent, "resuming an interrupted answer");
-            Timer::after(RESUME_WAIT).await;
-            answer.body = self.resume(place, answer.sent).await?;
+            Timer::after(RESUME_DELAY).await;
+            answer.body = self.resume(slot, answer.sent).await?;
         }
     }
 
     /// Relays the body as it arrives; a broken connection gives a refusal marked
     /// `elsewhere`.
-    async fn copy(&self, answer: &mut Answer) -> Result<(), Stop> {
+    async fn relay_body(&self, answer: &mut Answer) -> Result<(), Abort> {
         let mut buf = vec![0; MAX_CHUNK];
         loop {
             let read = answer.body.read(&mut buf).await;
@@ -327,24 +330,24 @@
             if n == 0 {
                 return Ok(());
             }
-            answer.took(&buf[..n]);
+            answer.record(&buf[..n]);
             if !self.credit.take(units(n)).await {
-                return Err(Stop::Gone);
+                return Err(Abort::EntryGone);
             }
             let chunk = Bytes::copy_from_slice(&buf[..n]);
-            self.tell(dispatch_down::Kind::Chunk(chunk)).await?;
+            self.send_message(dispatch_down::Kind::Chunk(chunk)).await?;
         }
     }
 
     /// Gets the rest of an answer from the same run of the engine.
-    async fn resume(&self, place: &Place, offset: u64) -> Result<Body, Refusal> {
+    async fn resume(&self, slot: &RequestSlot, offset: u64) -> Result<Body, Refusal> {
         let backend = &self.endpoint.backend;
         let fail = |cause: String| {
             let text = format!("the answer can't be resumed: {cause}");
             Refusal::failed(Step::Stream, text)
         };
         let run = self.endpoint.incarnation();
-        let id = self.endpoint.request_id(place.id);
+        let id = self.endpoint.request_id(slot.id);
         let req = backend.resume_request(&id, offset);
         let req = req.map_err(|e| fail(e.to_string()))?;
         let sock = backend.connect().await.map_err(|e| fail(e.to_string()))?;
@@ -358,15 +361,15 @@
     }
 
     /// Runs `work` until it ends, the deadline passes or the entry ends the call.
-    async fn bounded<T>(
+    async fn with_deadline<T>(
         &self,
         deadline: Instant,
         late: impl FnOnce() -> Refusal,
-        work: impl std::future::Future<Output = Result<T, Stop>>,
-    ) -> Result<T, Stop> {
+        work: impl std::future::Future<Output = Result<T, Abort>>,
+    ) -> Result<T, Abort> {
         let gone = async {
             self.credit.closed().await;
-            Err(Stop::Gone)
+            Err(Abort::EntryGone)
         };
         let timer = async {
             Timer::at(deadline).await;
@@ -375,9 +378,9 @@
         work.or(gone).or(timer).await
     }
 
-    async fn tell(&self, kind: dispatch_down::Kind) -> Result<(), Stop> {
+    async fn send_message(&self, kind: dispatch_down::Kind) -> Result<(), Abort> {
         let message = DispatchDown { kind: Some(kind) };
-        self.down.send(Ok(message)).await.map_err(|_| Stop::Gone)
+        self.down.send(Ok(message)).await.map_err(|_| Abort::EntryGone)
     }
 }
 
@@ -390,14 +393,14 @@
         Self { body: Body::empty(), sent: 0, len, events, tail: Tail::default() }
     }
 
-    fn took(&mut self, chunk: &[u8]) {
+    fn record(&mut self, chunk: &[u8]) {
         self.sent += chunk.len() as u64;
         if self.events {
             self.tail.push(chunk);
         }
     }
 
-    fn is_whole(&self) -> bool {
+    fn is_complete(&self) -> bool {
         match self.events {
             true => self.tail.0 == STREAM_END,
             false => self.len.is_none_or(|len| len == self.sent),
--- a/crates/larkspring/src/agent/gate.rs
+++ b/crates/larkspring/src/agent/load_permits.rs
@@ -16,7 +16,7 @@
 use crate::settings::PlatformCfg;
 
 /// Client of the leading entry, which grants load permits.
-pub struct Gate {
+pub struct LoadPermits {
     limits: Option<BudgetLimits>,
     api: HttpObjects,
     pool: Pool,
@@ -34,10 +34,10 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Exceeds the 10 s that a call for a permit waits at the entry.
 const PERMIT_TIMEOUT: Duration = Duration::from_secs(12);
-const TRIES: u32 = 3;
+const PERMIT_ATTEMPTS: u32 = 3;
 
-impl Gate {
-    /// Creates a gate from the platform's settings.
+impl LoadPermits {
+    /// Creates a client from the platform's settings.
     pub fn new(cfg: &PlatformCfg) -> Self {
         Self {
             limits: cfg.loads,
@@ -49,17 +49,17 @@
 
     /// Waits until a load may begin. If no entry grants permits, the budget's rate is
     /// divided among `agents` agents.
-    pub async fn pass(
+    pub async fn acquire(
         &self,
         load: String,
         (priority, waiting): (u32, u32),
         agents: usize,
     ) -> Permit {
         let Some(limits) = self.limits else { return Permit { load, leader: None } };
-        for _ in 0..TRIES {
+        for _ in 0..PERMIT_ATTEMPTS {
             let Some(addr) = self.leader().await else { break };
             let req = PermitRequest { load: load.clone(), priority, waiting };
-            match self.ask(&addr, req).await {
+            match self.request(&addr, req).await {
                 Some(true) => return Permit { load, leader: Some(addr) },
                 Some(false) => {}
                 None => *self.leader.lock() = None,
@@ -72,7 +72,7 @@
     }
 
     /// Returns a permit.
-    pub async fn done(&self, permit: Permit) {
+    pub async fn release(&self, permit: Permit) {
         let Some(addr) = permit.leader else { return };
         let Some(mut client) = self.client(&addr).await else { return };
         // A permit that is not returned expires.
@@ -81,7 +81,7 @@
 
     /// Requests a permit: `true` if granted, `false` if not yet, `None` if the call
     /// failed or the entry does not lead.
-    async fn ask(&self, addr: &str, req: PermitRequest) -> Option<bool> {
+    async fn request(&self, addr: &str, req: PermitRequest) -> Option<bool> {
         let mut client = self.client(addr).await?;
         let reply = within(PERMIT_TIMEOUT, client.permit(req)).await?;
         let reply = reply.ok()?.into_inner();
--- a/crates/larkspring/src/agent/mod.rs
+++ b/crates/larkspring/src/agent/mod.rs
@@ -7,8 +7,8 @@
 mod backend;
 mod endpoint;
 pub mod fence;
-mod gate;
 mod job;
+mod load_permits;
 mod poll;
 
 use std::net::SocketAddr;
@@ -27,7 +27,7 @@
 
 use self::endpoint::Endpoint;
 use self::fence::Fence;
-use self::gate::Gate;
+use self::load_permits::LoadPermits;
 use crate::exec;
 use crate::follow::Follower;
 use crate::in_force::InForce;
@@ -74,14 +74,14 @@
         let in_force = Arc::new(InForce::default());
         let metrics = Metrics::new(&settings.telemetry);
         let grace = cfg.stop_grace;
-        let gate = Gate::new(&settings.platform);
+        let load_permits = LoadPermits::new(&settings.platform);
         let endpoint = Arc::new(Endpoint::new(
             cfg,
             &settings.vm,
             in_force.clone(),
             metrics,
             fence,
-            gate,
+            load_permits,
         ));
         let follower = Follower::new(in_force, &settings.platform, String::new());
         let follow = exec::spawn(async move { follower.run(|| false).await });
@@ -97,7 +97,7 @@
     pub async fn stop(self) {
         self.endpoint.stop();
         tracing::info!(endpoint = self.endpoint.name(), "agent is stopping");
-        self.endpoint.idle(self.grace).await;
+        self.endpoint.wait_idle(self.grace).await;
         self.stopper.stop(self.grace).await;
     }
 }
@@ -134,19 +134,19 @@
         slots: cfg.slots,
         max_running: cfg.max_running,
         max_waiting: cfg.max_waiting,
-        max_loading: MAX_LOADING,
+        max_loading: MAX_CONCURRENT_LOADS,
         paced: false,
-        patience: PATIENCE,
-        settle: SETTLE,
+        patience: EVICTION_DELAY,
+        settle: REPORT_SETTLE_TIME,
         eviction: cfg.eviction,
         order: LoadOrder::Urgency,
     }
 }
 
 /// Maximum number of concurrent loads in one engine.
-const MAX_LOADING: usize = 2;
+const MAX_CONCURRENT_LOADS: usize = 2;
 /// Time that a request waits before an adapter in use is evicted for the request's
 /// adapter.
-const PATIENCE: Duration = Duration::from_secs(2);
+const EVICTION_DELAY: Duration = Duration::from_secs(2);
 /// Time after the start in which the engine's reports may still lack requests.
-const SETTLE: Duration = Duration::from_secs(3);
+const REPORT_SETTLE_TIME: Duration = Duration::from_secs(3);
--- a/crates/larkspring/src/agent/poll.rs
+++ b/crates/larkspring/src/agent/poll.rs
@@ -11,16 +11,16 @@
 use super::endpoint::Endpoint;
 
 /// Consecutive failed reports after which the engine counts as unreachable.
-const MISSES: u32 = 2;
+const MAX_MISSED_REPORTS: u32 = 2;
 /// Run id of a plain service, which reports none.
-const SERVICE_RUN: &str = "service";
+const SERVICE_INCARNATION: &str = "service";
 
 /// Version of the pseudo-adapter that represents a plain service.
 pub const SERVICE_VERSION: &str = "-";
 
 /// Takes an epoch and then polls the engine; never returns.
 pub async fn run(endpoint: Arc<Endpoint>) {
-    endpoint.in_force.reached(1).await;
+    endpoint.in_force.wait_for_revision(1).await;
     if let Some(service) = endpoint.service() {
         return follow_service(endpoint, &service).await;
     }
@@ -31,13 +31,13 @@
         match endpoint.backend.report().await {
             Ok(report) => {
                 misses = 0;
-                endpoint.reported(&report);
+                endpoint.apply_report(&report);
             }
             Err(e) => {
                 misses += 1;
                 tracing::debug!(error = %e, "engine report failed");
-                if misses >= MISSES || e.nothing_sent() {
-                    endpoint.unreachable();
+                if misses >= MAX_MISSED_REPORTS || e.nothing_sent() {
+                    endpoint.mark_unreachable();
                 }
             }
         }
@@ -48,12 +48,12 @@
 /// Treats a plain service as an engine whose only adapter is always resident.
 async fn follow_service(endpoint: Arc<Endpoint>, service: &str) {
     let report = Report {
-        incarnation: SERVICE_RUN.into(),
+        incarnation: SERVICE_INCARNATION.into(),
         resident: vec![Target::new(service, SERVICE_VERSION).to_string()],
         running: vec![],
     };
     loop {
-        endpoint.reported(&report);
+        endpoint.apply_report(&report);
         pause(&endpoint).await;
     }
 }
@@ -71,9 +71,9 @@
             Timer::at(next).await;
             false
         };
-        let go_on = changed.or(late).await;
-        endpoint.follow_leaving();
-        if !go_on {
+        let poll_early = changed.or(late).await;
+        endpoint.update_draining();
+        if !poll_early {
             return;
         }
     }
--- a/crates/larkspring/src/clock.rs
+++ b/crates/larkspring/src/clock.rs
@@ -16,11 +16,11 @@
 pub struct Moment(Duration);
 
 /// Milliseconds by which tests have advanced the clock.
-static STEPPED_MS: AtomicU64 = AtomicU64::new(0);
+static ADVANCED_MS: AtomicU64 = AtomicU64::new(0);
 
 /// Advances the clock of this process, as a suspension does. For tests.
 pub fn step(by: Duration) {
-    STEPPED_MS.fetch_add(by.as_millis() as u64, Ordering::Relaxed);
+    ADVANCED_MS.fetch_add(by.as_millis() as u64, Ordering::Relaxed);
 }
 
 impl Moment {
@@ -29,7 +29,7 @@
         let time = clock_gettime(ClockId::Boottime);
         // Neither field is negative for this clock.
         let since_start = Duration::new(time.tv_sec as u64, time.tv_nsec as u32);
-        Self(since_start + Duration::from_millis(STEPPED_MS.load(Ordering::Relaxed)))
+        Self(since_start + Duration::from_millis(ADVANCED_MS.load(Ordering::Relaxed)))
     }
 
     /// Returns the time that has passed since this moment.
--- a/crates/larkspring/src/entry/answer.rs
+++ b/crates/larkspring/src/entry/answer.rs
@@ -14,32 +14,32 @@
 use parking_lot::Mutex;
 use smol::Timer;
 
-use super::dispatch::{Begun, Call};
+use super::at_most_once::Claim;
+use super::dispatch::{Call, StartedAnswer};
+use super::error_response;
 use super::limits::Permit;
-use super::once::Claim;
-use super::refuse;
 use crate::exec;
 use crate::rpc::credit::units;
 use crate::wire::refusal_from_wire;
 
 /// Header with the time in microseconds that the request waited for its adapter to load.
-const LOAD_WAIT: &str = "larkspring-load-wait-us";
+const LOAD_WAIT_HEADER: &str = "larkspring-load-wait-us";
 const EVENT_STREAM: &str = "text/event-stream";
 /// Time after the deadline in which the agent may still report that the deadline passed.
 const AGENT_GRACE: Duration = Duration::from_secs(1);
 /// Minimum number of units in one credit message.
-const CREDIT_PORTION: u32 = 16;
+const MIN_CREDIT_GRANT: u32 = 16;
 
 /// Builds the response that relays an answer.
-pub fn respond(begun: Begun, permit: Permit, claim: Option<Claim>) -> Response {
+pub fn respond(begun: StartedAnswer, permit: Permit, claim: Option<Claim>) -> Response {
     let mut res = Response::new(begun.begin.status as u16);
     let content_type = begun.begin.content_type.clone();
     let events = content_type.starts_with(EVENT_STREAM);
     let deadline = begun.deadline;
     let relay = Relay::new(begun.call, permit, claim, events, deadline);
-    res.set_body(Body::from_reader(Exclusive(Mutex::new(relay)), None));
+    res.set_body(Body::from_reader(SyncRelay(Mutex::new(relay)), None));
     let wait = begun.begin.load_wait_us;
-    res.insert_header(LOAD_WAIT, wait.to_string());
+    res.insert_header(LOAD_WAIT_HEADER, wait.to_string());
     // An endpoint may send a content type that is not a valid header value.
     if let Ok(value) = content_type.parse::<HeaderValue>() {
         res.insert_header("content-type", value);
@@ -60,8 +60,8 @@
     events: bool,
     chunk: Bytes,
     /// Units that were received and not yet granted again.
-    owed: u32,
-    broken: Option<String>,
+    pending_credit: u32,
+    failure: Option<String>,
     timer: Timer,
 }
 
@@ -79,15 +79,15 @@
             claim,
             events,
             chunk: Bytes::new(),
-            owed: 0,
-            broken: None,
+            pending_credit: 0,
+            failure: None,
             timer: Timer::at(deadline + AGENT_GRACE),
         }
     }
 
     fn poll_chunk(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         while self.chunk.is_empty() {
-            if let Some(cause) = self.broken.take() {
+            if let Some(cause) = self.failure.take() {
                 return Poll::Ready(Err(io::Error::other(cause)));
             }
             let Some(call) = &mut self.call else { return Poll::Ready(Ok(())) };
@@ -96,31 +96,31 @@
                 Poll::Pending => {
                     ready!(Pin::new(&mut self.timer).poll_timer(cx));
                     let text = "the deadline passed";
-                    self.break_off(Refusal::failed(Step::Stream, text));
+                    self.interrupt(Refusal::failed(Step::Stream, text));
                     continue;
                 }
             };
             match next {
                 Some(Ok(Kind::Chunk(chunk))) => self.take(chunk),
                 Some(Ok(Kind::End(end))) => {
-                    call.learn(end.hint);
+                    call.record_report(end.hint);
                     if let Some(claim) = self.claim.take() {
-                        claim.ran();
+                        claim.settle_ran();
                     }
                     self.finish();
                 }
                 Some(Ok(Kind::Refusal(mut refusal))) => {
-                    call.learn(refusal.hint.take());
+                    call.record_report(refusal.hint.take());
                     let peer = call.peer().to_owned();
-                    self.break_off(refusal_from_wire(refusal, &peer));
+                    self.interrupt(refusal_from_wire(refusal, &peer));
                 }
                 Some(Ok(Kind::Begin(_))) | None => {
                     let text = "the agent ended the call in the middle of the answer";
-                    self.break_off(Refusal::failed(Step::Stream, text));
+                    self.interrupt(Refusal::failed(Step::Stream, text));
                 }
                 Some(Err(status)) => {
                     let text = format!("the call to the agent broke: {status}");
-                    self.break_off(Refusal::failed(Step::Stream, text));
+                    self.interrupt(Refusal::failed(Step::Stream, text));
                 }
             }
         }
@@ -129,15 +129,15 @@
 
     fn take(&mut self, chunk: Bytes) {
         if let Some(claim) = &mut self.claim {
-            claim.took(&chunk);
+            claim.record_chunk(&chunk);
         }
-        self.owed += units(chunk.len());
+        self.pending_credit += units(chunk.len());
         self.chunk = chunk;
-        if self.owed >= CREDIT_PORTION {
+        if self.pending_credit >= MIN_CREDIT_GRANT {
             if let Some(call) = &self.call {
-                call.grant(self.owed);
+                call.grant(self.pending_credit);
             }
-            self.owed = 0;
+            self.pending_credit = 0;
         }
     }
 
@@ -149,13 +149,13 @@
     }
 
     /// Ends the answer as interrupted; an event stream gets a last event with the error.
-    fn break_off(&mut self, refusal: Refusal) {
+    fn interrupt(&mut self, refusal: Refusal) {
         tracing::info!(%refusal, "an answer broke off");
         if self.events {
-            let body = refuse::body(&refusal);
+            let body = error_response::body(&refusal);
             self.chunk = format!("event: error\ndata: {body}\n\n").into();
         }
-        self.broken = Some(refusal.to_string());
+        self.failure = Some(refusal.to_string());
         self.finish();
     }
 }
@@ -173,8 +173,8 @@
             claim: self.claim.take(),
             events: self.events,
             chunk: Bytes::new(),
-            owed: self.owed,
-            broken: None,
+            pending_credit: self.pending_credit,
+            failure: None,
             timer: std::mem::replace(&mut self.timer, Timer::never()),
         };
         let drain = async move {
@@ -199,9 +199,9 @@
 }
 
 /// Makes the relay `Sync`, which http-types requires of a body; only one task uses it.
-struct Exclusive(Mutex<Relay>);
+struct SyncRelay(Mutex<Relay>);
 
-impl AsyncRead for Exclusive {
+impl AsyncRead for SyncRelay {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -215,7 +215,7 @@
     }
 }
 
-impl AsyncBufRead for Exclusive {
+impl AsyncBufRead for SyncRelay {
     fn poll_fill_buf(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/larkspring/src/entry/dispatch.rs
+++ b/crates/larkspring/src/entry/dispatch.rs
@@ -19,14 +19,14 @@
 use smol::Timer;
 use tonic::{Status, Streaming};
 
-use super::inbound::{Inbound, To};
-use super::Inner;
+use super::inbound::{Destination, Inbound};
+use super::EntryState;
 use crate::rpc::channel::nothing_sent;
 use crate::rpc::credit::INITIAL_UNITS;
-use crate::wire::{hint_from_wire, refusal_from_wire};
+use crate::wire::{load_report_from_wire, refusal_from_wire};
 
 /// An answer whose head has arrived.
-pub struct Begun {
+pub struct StartedAnswer {
     /// The head of the answer.
     pub begin: Begin,
     /// The call that carries the body.
@@ -37,7 +37,7 @@
 
 /// One call to an agent; dropping it cancels the call.
 pub struct Call {
-    entry: Arc<Inner>,
+    entry: Arc<EntryState>,
     endpoint: Arc<Endpoint>,
     up: Sender<DispatchUp>,
     down: Option<Streaming<DispatchDown>>,
@@ -45,15 +45,18 @@
 
 /// Maximum number of attempts at a request, each at another endpoint.
 const MAX_ATTEMPTS: usize = 4;
-const FIRST_BACKOFF: Duration = Duration::from_millis(10);
-const LONGEST_BACKOFF: Duration = Duration::from_millis(250);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(10);
+const MAX_BACKOFF: Duration = Duration::from_millis(250);
 /// Time after the deadline in which the agent may still report that the deadline passed.
 const AGENT_GRACE: Duration = Duration::from_millis(500);
 /// Retry delay sent when no endpoint could be chosen or reached.
-const NO_ENDPOINT_RETRY: Duration = Duration::from_secs(1);
+const NO_ENDPOINT_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Dispatches a request, with retries, until an answer begins or no attempt is left.
-pub async fn run(entry: &Arc<Inner>, req: Inbound) -> Result<Begun, Refusal> {
+pub async fn run(
+    entry: &Arc<EntryState>,
+    req: Inbound,
+) -> Result<StartedAnswer, Refusal> {
     entry.budget.lock().earn();
     let mut tried: Vec<EndpointId> = Vec::new();
     // Outcome of the latest earlier attempt that an endpoint may have run.
@@ -67,7 +70,7 @@
             Ok(begun) => return Ok(begun),
             Err(refusal) => refusal.after(earlier),
         };
-        let wait = backoff(FIRST_BACKOFF, LONGEST_BACKOFF, tried.len() as u32, &mut rng);
+        let wait = backoff(INITIAL_BACKOFF, MAX_BACKOFF, tried.len() as u32, &mut rng);
         let in_time = Instant::now() + wait < req.deadline;
         if !may_retry(&req, &last) || tried.len() >= MAX_ATTEMPTS || !in_time {
             return Err(last);
@@ -99,14 +102,14 @@
 }
 
 fn choose(
-    entry: &Inner,
+    entry: &EntryState,
     req: &Inbound,
     tried: &[EndpointId],
     rng: &mut fastrand::Rng,
 ) -> Result<Arc<Endpoint>, Refusal> {
     let state = entry.in_force.state();
-    let (mut endpoints, target) = match &req.to {
-        To::Model { target, base, .. } => {
+    let (mut endpoints, target) = match &req.destination {
+        Destination::Model { target, base, .. } => {
             let target = target.hash();
             let near = match entry.cfg.routing {
                 Policy::Predicted | Policy::Hash => state.engines_near(base, target),
@@ -114,7 +117,7 @@
             };
             (near, Some(target))
         }
-        To::Service { service, .. } => {
+        Destination::Service { service, .. } => {
             (state.service_endpoints(service).iter().collect(), None)
         }
     };
@@ -122,16 +125,16 @@
     let chosen = entry.router.choose(Instant::now(), &endpoints, target, tried, rng);
     chosen.ok_or_else(|| {
         let refusal = Refusal::not_run(Step::Choose, "no endpoint takes the request now");
-        refusal.retry_after(NO_ENDPOINT_RETRY)
+        refusal.retry_after(NO_ENDPOINT_RETRY_DELAY)
     })
 }
 
 /// Makes one attempt at one endpoint and waits for the head of the answer.
 async fn attempt(
-    entry: &Arc<Inner>,
+    entry: &Arc<EntryState>,
     req: &Inbound,
     endpoint: Arc<Endpoint>,
-) -> Result<Begun, Refusal> {
+) -> Result<StartedAnswer, Refusal> {
     let work = begin(entry, req, endpoint.clone());
     let late = async {
         Timer::at(req.deadline + AGENT_GRACE).await;
@@ -142,19 +145,19 @@
 }
 
 async fn begin(
-    entry: &Arc<Inner>,
+    entry: &Arc<EntryState>,
     req: &Inbound,
     endpoint: Arc<Endpoint>,
-) -> Result<Begun, Refusal> {
+) -> Result<StartedAnswer, Refusal> {
     let peer = endpoint.name.clone();
     let mut call = open(entry, req, endpoint).await?;
     match call.next().await {
         Some(Ok(dispatch_down::Kind::Begin(begin))) => {
-            call.learn(begin.hint.clone());
-            Ok(Begun { begin, call, deadline: req.deadline })
+            call.record_report(begin.hint.clone());
+            Ok(StartedAnswer { begin, call, deadline: req.deadline })
         }
         Some(Ok(dispatch_down::Kind::Refusal(mut refusal))) => {
-            call.learn(refusal.hint.take());
+            call.record_report(refusal.hint.take());
             Err(refusal_from_wire(refusal, &peer))
         }
         Some(Ok(_)) | None => {
@@ -169,7 +172,7 @@
 
 /// Opens a call to the endpoint's agent and sends the request.
 async fn open(
-    entry: &Arc<Inner>,
+    entry: &Arc<EntryState>,
     req: &Inbound,
     endpoint: Arc<Endpoint>,
 ) -> Result<Call, Refusal> {
@@ -177,7 +180,7 @@
     let not_sent = |cause: String| {
         entry.router.unreachable(Instant::now(), &peer);
         let refusal = Refusal::not_run(Step::Connect, cause).elsewhere();
-        refusal.peer(&*peer).retry_after(NO_ENDPOINT_RETRY)
+        refusal.peer(&*peer).retry_after(NO_ENDPOINT_RETRY_DELAY)
     };
     let channel = entry.pool.get(&endpoint.agent).await;
     let channel = channel.map_err(|e| not_sent(e.to_string()))?;
@@ -201,7 +204,7 @@
     Ok(call)
 }
 
-fn start_message(entry: &Inner, req: &Inbound) -> Start {
+fn start_message(entry: &EntryState, req: &Inbound) -> Start {
     let left = req.deadline.saturating_duration_since(Instant::now());
     let mut start = Start {
         attempt: entry.attempt_id(),
@@ -217,15 +220,15 @@
         max_tokens: req.max_tokens,
         ..Start::default()
     };
-    match &req.to {
-        To::Model { target, path, .. } => {
+    match &req.destination {
+        Destination::Model { target, path, .. } => {
             start.model = Some(ModelTarget {
                 adapter: target.adapter.to_string(),
                 version: target.version.to_string(),
                 path: (*path).into(),
             });
         }
-        To::Service { service, method, path } => {
+        Destination::Service { service, method, path } => {
             start.service = Some(ServiceTarget {
                 service: service.clone(),
                 method: method.to_string(),
@@ -269,10 +272,10 @@
     }
 
     /// Records the agent's load report of its endpoint.
-    pub fn learn(&self, hint: Option<Hint>) {
+    pub fn record_report(&self, hint: Option<Hint>) {
         if let Some(hint) = hint {
             let name = &self.endpoint.name;
-            self.entry.router.learn(Instant::now(), name, hint_from_wire(hint));
+            self.entry.router.learn(Instant::now(), name, load_report_from_wire(hint));
         }
     }
 }
--- a/crates/larkspring/src/entry/inbound.rs
+++ b/crates/larkspring/src/entry/inbound.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 
-use super::Inner;
+use super::EntryState;
 use crate::telemetry::TraceParent;
 
 /// Header with the idempotency key of a request, the same for each retry.
@@ -32,7 +32,7 @@
     /// The authenticated caller.
     pub caller: Arc<Caller>,
     /// The destination.
-    pub to: To,
+    pub destination: Destination,
     /// Time at which the caller stops waiting.
     pub deadline: Instant,
     /// The priority; 0 is the most urgent.
@@ -53,7 +53,7 @@
 
 /// The destination of a request.
 #[derive(Debug, Clone)]
-pub enum To {
+pub enum Destination {
     /// An adapter on a model engine; `path` is the engine's HTTP path.
     Model { target: Target, base: BaseId, path: &'static str },
     /// A call of a plain service; `path` includes the query.
@@ -78,16 +78,17 @@
 impl Inbound {
     /// Reads and checks a request of a known caller.
     pub(super) async fn read(
-        entry: &Inner,
+        entry: &EntryState,
         mut req: Request,
         caller: Arc<Caller>,
         received: Instant,
     ) -> Result<Self, Refusal> {
         let body = req.body_bytes().await;
-        let body = body.map_err(|e| bad(&format!("the body can't be read: {e}")))?;
+        let body =
+            body.map_err(|e| bad_request(&format!("the body can't be read: {e}")))?;
         let parent = req.header("traceparent").map(|v| v.as_str());
         let mut inbound = Self {
-            to: To::Service {
+            destination: Destination::Service {
                 service: String::new(),
                 method: req.method(),
                 path: "".into(),
@@ -116,30 +117,35 @@
 
     /// Returns the name of the destination, for logs and the request fingerprint.
     pub fn target_name(&self) -> String {
-        match &self.to {
-            To::Model { target, .. } => target.to_string(),
-            To::Service { service, method, path } => format!("{service} {method} {path}"),
+        match &self.destination {
+            Destination::Model { target, .. } => target.to_string(),
+            Destination::Service { service, method, path } => {
+                format!("{service} {method} {path}")
+            }
         }
     }
 
-    fn model(&mut self, entry: &Inner, path: &'static str) -> Result<(), Refusal> {
-        let mut completion: Completion = serde_json::from_slice(&self.body)
-            .map_err(|e| bad(&format!("the body is no completion request: {e}")))?;
+    fn model(&mut self, entry: &EntryState, path: &'static str) -> Result<(), Refusal> {
+        let mut completion: Completion =
+            serde_json::from_slice(&self.body).map_err(|e| {
+                bad_request(&format!("the body is no completion request: {e}"))
+            })?;
         let state = entry.in_force.state();
         let choice = state.resolve(&completion.model, &self.caller)?;
         completion.model = choice.target.to_string();
         self.max_tokens = completion.max_tokens.unwrap_or_default();
         self.repeatable &= !choice.not_repeatable;
         let body = serde_json::to_vec(&completion);
-        self.body = body.map_err(|e| bad(&e.to_string()))?.into();
+        self.body = body.map_err(|e| bad_request(&e.to_string()))?.into();
         self.content_type = "application/json".into();
-        self.to = To::Model { target: choice.target, base: choice.base, path };
+        self.destination =
+            Destination::Model { target: choice.target, base: choice.base, path };
         Ok(())
     }
 
     fn service(
         &mut self,
-        entry: &Inner,
+        entry: &EntryState,
         method: Method,
         path: &str,
         query: Option<&str>,
@@ -153,18 +159,18 @@
         if let Some(query) = query {
             path = format!("{path}?{query}");
         }
-        self.to = To::Service { service: service.into(), method, path };
+        self.destination = Destination::Service { service: service.into(), method, path };
         Ok(())
     }
 }
 
-fn deadline(entry: &Inner, req: &Request) -> Result<Duration, Refusal> {
+fn deadline(entry: &EntryState, req: &Request) -> Result<Duration, Refusal> {
     let Some(value) = header(req, DEADLINE) else {
         return Ok(entry.cfg.default_deadline);
     };
     match value.parse() {
         Ok(ms) if ms > 0 => Ok(Duration::from_millis(ms).min(entry.cfg.max_deadline)),
-        _ => Err(bad(&format!("{DEADLINE} is no number of milliseconds"))),
+        _ => Err(bad_request(&format!("{DEADLINE} is no number of milliseconds"))),
     }
 }
 
@@ -173,14 +179,14 @@
     let Some(value) = header(req, PRIORITY) else { return Ok(caller.priority) };
     match value.parse::<u32>() {
         Ok(n) if n <= LEAST_URGENT => Ok(n.max(caller.priority)),
-        _ => Err(bad(&format!("{PRIORITY} is no number from 0 to 9"))),
+        _ => Err(bad_request(&format!("{PRIORITY} is no number from 0 to 9"))),
     }
 }
 
 fn key(req: &Request) -> Result<Option<String>, Refusal> {
     match header(req, KEY) {
         Some(key) if key.is_empty() || key.len() > MAX_KEY_LEN => {
-            Err(bad(&format!("{KEY} needs 1 to {MAX_KEY_LEN} characters")))
+            Err(bad_request(&format!("{KEY} needs 1 to {MAX_KEY_LEN} characters")))
         }
         key => Ok(key.map(str::to_owned)),
     }
@@ -190,7 +196,7 @@
     match header(req, REPEATABLE) {
         None | Some("yes") => Ok(true),
         Some("no") => Ok(false),
-        Some(_) => Err(bad(&format!("{REPEATABLE} is neither yes nor no"))),
+        Some(_) => Err(bad_request(&format!("{REPEATABLE} is neither yes nor no"))),
     }
 }
 
@@ -198,6 +204,6 @@
     req.header(name).map(|v| v.as_str())
 }
 
-fn bad(what: &str) -> Refusal {
+fn bad_request(what: &str) -> Refusal {
     Refusal::not_run(Step::Read, what)
 }
--- a/crates/larkspring/src/entry/keys/handover.rs
+++ b/crates/larkspring/src/entry/keys/handover.rs
@@ -12,28 +12,28 @@
 use super::{timed, Keys};
 
 /// Attempts to write the table.
-const TRIES: u32 = 5;
+const WRITE_ATTEMPTS: u32 = 5;
 
 impl Keys {
     /// Hands over all partitions, with their claims, to other holders.
     ///
     /// From the start of the handover this run grants no more keys. A partition that
     /// cannot be handed over is taken over in the same way as after a crash.
-    pub async fn give_away(&self) {
+    pub async fn hand_over(&self) {
         self.closing.store(true, Ordering::Release);
-        let mut heirs = Vec::new();
+        let mut successors = Vec::new();
         for partition in 0..self.claims.len() {
             let Some(tenure) = self.holder(partition) else { continue };
-            if !same_run(&tenure, &self.me) {
+            if !same_run(&tenure, &self.own_tenure) {
                 continue;
             }
-            if let Some(heir) = self.tell_heir(partition).await {
-                heirs.push((partition, heir));
+            if let Some(successor) = self.send_claims(partition).await {
+                successors.push((partition, successor));
             }
         }
-        let given = heirs.len();
-        for _ in 0..TRIES {
-            if self.write_heirs(&heirs).await {
+        let given = successors.len();
+        for _ in 0..WRITE_ATTEMPTS {
+            if self.write_successors(&successors).await {
                 tracing::info!(given, "key partitions handed over");
                 return;
             }
@@ -42,46 +42,50 @@
     }
 
     /// Imports the claims of a partition from its previous holder.
-    pub(super) fn inherit(&self, req: HandoverRequest) -> Result<HandoverReply, Status> {
+    pub(super) fn import_claims(
+        &self,
+        req: HandoverRequest,
+    ) -> Result<HandoverReply, Status> {
         let partition = req.partition as usize;
-        let place = self.claims.get(partition);
-        let place = place.ok_or_else(|| Status::invalid_argument("no such partition"))?;
+        let claims_lock = self.claims.get(partition);
+        let claims_lock =
+            claims_lock.ok_or_else(|| Status::invalid_argument("no such partition"))?;
         let claims: Option<Vec<_>> = req.claims.into_iter().map(from_message).collect();
         let claims = claims.ok_or_else(|| Status::invalid_argument("a key is faulty"))?;
-        place.lock().import(claims);
-        Ok(HandoverReply { run: self.me.run, vm: self.me.vm.clone() })
+        claims_lock.lock().import(claims);
+        Ok(HandoverReply { run: self.own_tenure.run, vm: self.own_tenure.vm.clone() })
     }
 
     /// Sends the claims of a partition to another entry; returns the new holder.
-    async fn tell_heir(&self, partition: usize) -> Option<Tenure> {
+    async fn send_claims(&self, partition: usize) -> Option<Tenure> {
         let mut holders = self.hello().table?.partitions;
-        holders.retain(|t| !t.holder.is_empty() && t.holder != self.me.holder);
+        holders.retain(|t| !t.holder.is_empty() && t.holder != self.own_tenure.holder);
         if holders.is_empty() {
             let peer =
                 |addr: &String| Tenure { holder: addr.clone(), ..Tenure::default() };
             holders.extend(self.peers.iter().map(peer));
-            holders.retain(|t| t.holder != self.me.holder);
+            holders.retain(|t| t.holder != self.own_tenure.holder);
         }
-        let heir = fastrand::choice(holders)?;
+        let successor = fastrand::choice(holders)?;
         let claims = self.claims[partition].lock().export();
         let req = HandoverRequest {
             partition: partition as u32,
             claims: claims.into_iter().map(to_message).collect(),
         };
-        let mut client = self.client(&heir).await.ok()?;
+        let mut client = self.client(&successor).await.ok()?;
         let reply = timed(client.handover(req)).await.ok()?;
-        Some(Tenure { run: reply.run, vm: reply.vm, ..heir })
+        Some(Tenure { run: reply.run, vm: reply.vm, ..successor })
     }
 
     /// Writes the new holders into the table; false if the table was changed
     /// concurrently.
-    async fn write_heirs(&self, heirs: &[(usize, Tenure)]) -> bool {
+    async fn write_successors(&self, successors: &[(usize, Tenure)]) -> bool {
         let (version, mut table) = self.known_table();
         let mut left = false;
-        for (partition, heir) in heirs {
+        for (partition, successor) in successors {
             let Some(t) = table.partitions.get_mut(*partition) else { continue };
-            if same_run(t, &self.me) {
-                *t = handover(t, heir);
+            if same_run(t, &self.own_tenure) {
+                *t = handover(t, successor);
                 left = true;
             }
         }
--- a/crates/larkspring/src/entry/keys/mod.rs
+++ b/crates/larkspring/src/entry/keys/mod.rs
@@ -35,10 +35,10 @@
 /// The idempotency keys of an entry: the partitions it holds, and access to the others.
 pub struct Keys {
     /// This run, as written in the table.
-    me: Tenure,
+    own_tenure: Tenure,
     terms: Terms,
     /// Maximum number of partitions that this entry takes.
-    most: usize,
+    max_partitions: usize,
     view: Mutex<View>,
     changed: Event,
     /// The claims of each partition, each under a separate lock.
@@ -53,7 +53,7 @@
 
 /// A request to claim a key.
 #[derive(Debug, Clone)]
-pub struct KeyAsk {
+pub struct KeyClaim {
     /// Partition of the key.
     pub partition: usize,
     /// Creation time of the key; 0 if the key carries none.
@@ -64,7 +64,7 @@
 
 /// Reply to a request to claim a key.
 #[derive(Debug, Clone)]
-pub struct Answered {
+pub struct ClaimAnswer {
     /// The decision on the key.
     pub verdict: Verdict,
     /// Time after which a retry makes sense.
@@ -82,10 +82,10 @@
 /// Maximum number of connections to other entries.
 const MAX_CONNECTIONS: usize = PARTITIONS;
 /// Attempts to reach the holder of a key.
-const CLAIM_TRIES: u32 = 3;
-const SETTLE_TRIES: u32 = 3;
+const CLAIM_ATTEMPTS: u32 = 3;
+const SETTLE_ATTEMPTS: u32 = 3;
 /// Retry delay sent when the holder of a key could not be reached.
-const CLAIM_RETRY: Duration = Duration::from_secs(1);
+const CLAIM_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 impl Keys {
     /// Creates the key state of an entry that other entries reach at `addr`.
@@ -95,7 +95,7 @@
             keys: MAX_KEYS / PARTITIONS,
             answer_bytes: cfg.kept_answer_bytes / PARTITIONS,
         };
-        let me = Tenure {
+        let own_tenure = Tenure {
             holder: addr.to_string(),
             run: fastrand::u64(1..),
             vm: settings.vm.clone(),
@@ -103,9 +103,9 @@
         };
         let platform = &settings.platform;
         Self {
-            me,
+            own_tenure,
             terms: cfg.terms,
-            most: cfg.max_key_partitions,
+            max_partitions: cfg.max_key_partitions,
             view: Mutex::default(),
             changed: Event::new(),
             claims: (0..PARTITIONS).map(|_| Mutex::new(Claims::new(limits))).collect(),
@@ -119,20 +119,20 @@
     /// Returns the number of partitions that this entry holds.
     pub fn held(&self) -> usize {
         let view = self.view.lock();
-        view.table.partitions.iter().filter(|t| same_run(t, &self.me)).count()
+        view.table.partitions.iter().filter(|t| same_run(t, &self.own_tenure)).count()
     }
 
     /// Whether this entry leads: it holds the first partition under a lease that has not
     /// expired.
     pub fn leads(&self) -> bool {
         let first = self.holder(LEADING_PARTITION);
-        first.is_some_and(|t| same_run(&t, &self.me) && wall_clock() < t.until_ms)
+        first.is_some_and(|t| same_run(&t, &self.own_tenure) && wall_clock() < t.until_ms)
     }
 
     /// Claims a key at the holder of its partition.
-    pub async fn claim(&self, key: &KeyAsk) -> Result<Answered, Refusal> {
+    pub async fn claim(&self, key: &KeyClaim) -> Result<ClaimAnswer, Refusal> {
         let mut cause = String::new();
-        for _ in 0..CLAIM_TRIES {
+        for _ in 0..CLAIM_ATTEMPTS {
             let Some(holder) = self.holder(key.partition) else {
                 cause = "no entry holds the key's partition".into();
                 self.refresh().await;
@@ -151,19 +151,19 @@
             }
         }
         let text = format!("it can't be found out now whether this key has run: {cause}");
-        Err(Refusal::unknown(Step::Claim, text).retry_after(CLAIM_RETRY))
+        Err(Refusal::unknown(Step::Claim, text).retry_after(CLAIM_RETRY_DELAY))
     }
 
     /// Reports to the holder of a granted key how the request ended.
     pub async fn settle(
         &self,
-        key: &KeyAsk,
+        key: &KeyClaim,
         settled: Settled,
         answer: Option<KeptAnswer>,
     ) {
-        for _ in 0..SETTLE_TRIES {
+        for _ in 0..SETTLE_ATTEMPTS {
             let Some(holder) = self.holder(key.partition) else { return };
-            if same_run(&holder, &self.me) {
+            if same_run(&holder, &self.own_tenure) {
                 return self.settle_here(key, settled, answer);
             }
             let req = SettleRequest {
@@ -184,11 +184,11 @@
     }
 
     /// Decides on a claim, if this run holds the key's partition.
-    fn decide(&self, run: u64, key: KeyAsk) -> Answered {
+    fn decide(&self, run: u64, key: KeyClaim) -> ClaimAnswer {
         let now = wall_clock();
-        let foreign = Answered::new(Verdict::Foreign);
+        let foreign = ClaimAnswer::new(Verdict::Foreign);
         let Some(tenure) = self.holder(key.partition) else { return foreign };
-        if run != self.me.run || !same_run(&tenure, &self.me) {
+        if run != self.own_tenure.run || !same_run(&tenure, &self.own_tenure) {
             return foreign;
         }
         let mut claims = self.claims[key.partition].lock();
@@ -197,23 +197,26 @@
             return foreign;
         }
         if let Some((verdict, answer)) = claims.look(now, &key.ask) {
-            return Answered { verdict, retry_after: None, answer };
+            return ClaimAnswer { verdict, retry_after: None, answer };
         }
         match standing(&tenure, &self.terms, now, key.birth) {
             Standing::Known => {
                 let (verdict, answer) = claims.claim(now, key.ask);
-                Answered { verdict, retry_after: None, answer }
+                ClaimAnswer { verdict, retry_after: None, answer }
             }
-            Standing::Lost => Answered::new(Verdict::Unknown),
+            Standing::Lost => ClaimAnswer::new(Verdict::Unknown),
             Standing::LostUntil(at) => {
                 let wait = Duration::from_millis(at - now);
-                Answered { retry_after: Some(wait), ..Answered::new(Verdict::Unknown) }
+                ClaimAnswer {
+                    retry_after: Some(wait),
+                    ..ClaimAnswer::new(Verdict::Unknown)
+                }
             }
             Standing::Foreign => foreign,
         }
     }
 
-    fn settle_here(&self, key: &KeyAsk, settled: Settled, answer: Option<KeptAnswer>) {
+    fn settle_here(&self, key: &KeyClaim, settled: Settled, answer: Option<KeptAnswer>) {
         let answer = answer.map(|a| {
             let len = a.body.len();
             (a, len)
@@ -230,9 +233,9 @@
         (!tenure.holder.is_empty()).then(|| tenure.clone())
     }
 
-    async fn ask(&self, holder: &Tenure, key: &KeyAsk) -> Result<Answered, Status> {
-        if same_run(holder, &self.me) {
-            return Ok(self.decide(self.me.run, key.clone()));
+    async fn ask(&self, holder: &Tenure, key: &KeyClaim) -> Result<ClaimAnswer, Status> {
+        if same_run(holder, &self.own_tenure) {
+            return Ok(self.decide(self.own_tenure.run, key.clone()));
         }
         let now = wall_clock();
         let req = ClaimRequest {
@@ -246,7 +249,7 @@
         };
         let mut client = self.client(holder).await?;
         let reply = timed(client.claim(req)).await?;
-        Ok(Answered::from_reply(reply))
+        Ok(ClaimAnswer::from_reply(reply))
     }
 
     async fn client(&self, holder: &Tenure) -> Result<KeysClient<Channel>, Status> {
@@ -257,7 +260,7 @@
     }
 }
 
-impl Answered {
+impl ClaimAnswer {
     fn new(verdict: Verdict) -> Self {
         Self { verdict, retry_after: None, answer: None }
     }
@@ -272,7 +275,7 @@
     }
 }
 
-impl KeyAsk {
+impl KeyClaim {
     /// Creates a claim of a caller's key for a request with the fingerprint `request`.
     pub fn new(
         caller: &str,
@@ -293,7 +296,7 @@
 
 impl Debug for Keys {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Keys").field("me", &self.me).finish_non_exhaustive()
+        f.debug_struct("Keys").field("me", &self.own_tenure).finish_non_exhaustive()
     }
 }
 
--- a/crates/larkspring/src/entry/keys/rpc.rs
+++ b/crates/larkspring/src/entry/keys/rpc.rs
@@ -11,7 +11,7 @@
 };
 use tonic::{Request, Response, Status};
 
-use super::{wall_clock, KeyAsk, Keys};
+use super::{wall_clock, KeyClaim, Keys};
 
 /// Serves an entry's keys to other entries.
 pub struct Service {
@@ -26,7 +26,7 @@
         req: Request<ClaimRequest>,
     ) -> Result<Response<ClaimReply>, Status> {
         let req = req.into_inner();
-        let key = KeyAsk {
+        let key = KeyClaim {
             partition: partition(req.partition)?,
             birth: req.birth_ms,
             ask: Ask {
@@ -52,7 +52,7 @@
         let req = req.into_inner();
         let ask =
             Ask { key: key(&req.key)?, request: 0, attempt: req.attempt, deadline: 0 };
-        let key = KeyAsk { partition: partition(req.partition)?, birth: 0, ask };
+        let key = KeyClaim { partition: partition(req.partition)?, birth: 0, ask };
         self.keys.settle_here(&key, Settled::from_code(req.settled), req.answer);
         Ok(Response::new(SettleReply {}))
     }
@@ -61,7 +61,7 @@
         &self,
         req: Request<HandoverRequest>,
     ) -> Result<Response<HandoverReply>, Status> {
-        self.keys.inherit(req.into_inner()).map(Response::new)
+        self.keys.import_claims(req.into_inner()).map(Response::new)
     }
 
     async fn hello(
--- a/crates/larkspring/src/entry/keys/table.rs
+++ b/crates/larkspring/src/entry/keys/table.rs
@@ -26,11 +26,11 @@
 }
 
 /// Minimum number of reads of the table during one lease.
-const LOOKS_A_LEASE: u32 = 16;
+const READS_PER_LEASE: u32 = 16;
 /// Name of the object that holds the table.
 pub const TABLE: &str = "keys/table";
 /// Pause between two maintenance steps.
-const TICK: Duration = Duration::from_millis(200);
+const STEP_INTERVAL: Duration = Duration::from_millis(200);
 /// Pause after a failure of the object API.
 const FAILURE_PAUSE: Duration = Duration::from_secs(1);
 /// Interval between reads of the table by an entry that holds partitions. The table is
@@ -38,24 +38,24 @@
 const HOLDER_INTERVAL: Duration = Duration::from_secs(5);
 /// Interval between reads of the table by an entry that holds no partition; such an entry
 /// also reads the table whenever a key needs it.
-const OTHER_INTERVAL: Duration = Duration::from_secs(60);
+const NON_HOLDER_INTERVAL: Duration = Duration::from_secs(60);
 /// Number of other entries asked for their table in one refresh.
-const ASKED_AT_A_TIME: usize = 3;
+const MAX_ASKED_PER_REFRESH: usize = 3;
 /// Free partitions taken in one write, so that entries that start together share them.
-const TAKEN_AT_A_TIME: usize = 8;
+const MAX_TAKEN_PER_WRITE: usize = 8;
 
 impl Keys {
     /// Follows the table, renews held partitions and takes over others; never returns.
     pub async fn maintain(self: Arc<Self>) {
         loop {
             let pause = match self.step().await {
-                Ok(()) => TICK,
+                Ok(()) => STEP_INTERVAL,
                 Err(e) => {
                     tracing::warn!(error = %e, "object API failed; key table not updated");
                     FAILURE_PAUSE
                 }
             };
-            self.prove_ends().await;
+            self.check_suspects().await;
             let jitter = fastrand::f64() + 0.5;
             Timer::after(pause.mul_f64(jitter)).await;
         }
@@ -64,27 +64,27 @@
     /// Reads the table now: from the object API, or from other entries if that fails.
     pub(super) async fn refresh(&self) {
         match self.api.get(TABLE).await {
-            Ok(object) => drop(self.take_in(object)),
-            Err(_) => self.ask_others().await,
+            Ok(object) => drop(self.adopt_object(object)),
+            Err(_) => self.refresh_from_others().await,
         }
-        Timer::after(TICK).await;
+        Timer::after(STEP_INTERVAL).await;
     }
 
     /// Returns the id of this run and the latest known table.
     pub(super) fn hello(&self) -> HelloReply {
         let view = self.view.lock();
         HelloReply {
-            run: self.me.run,
+            run: self.own_tenure.run,
             version: view.version,
             table: Some(view.table.clone()),
         }
     }
 
     /// Adopts newer tables known to other holders.
-    async fn ask_others(&self) {
+    async fn refresh_from_others(&self) {
         let mut holders = self.other_holders();
         fastrand::shuffle(&mut holders);
-        for holder in holders.iter().take(ASKED_AT_A_TIME) {
+        for holder in holders.iter().take(MAX_ASKED_PER_REFRESH) {
             let Ok(mut client) = self.client(holder).await else { continue };
             let req = HelloRequest::default();
             let Ok(reply) = timed(client.hello(req)).await else { continue };
@@ -97,29 +97,29 @@
     /// They read the table only every few seconds, and cannot read the table at all while
     /// the object API is unavailable. Until then, a key of a partition whose holder they
     /// do not know would be refused as unknown.
-    fn tell_others(self: &Arc<Self>) {
+    fn notify_other_holders(self: &Arc<Self>) {
         for holder in self.other_holders() {
             let keys = self.clone();
-            let tell = async move {
+            let notify = async move {
                 let (version, table) = keys.known_table();
                 let req = HelloRequest { version, table: Some(table) };
-                let told = match keys.client(&holder).await {
+                let notified = match keys.client(&holder).await {
                     Ok(mut client) => timed(client.hello(req)).await.map(drop),
                     Err(e) => Err(e),
                 };
-                if let Err(e) = told {
+                if let Err(e) = notified {
                     // The holder learns of the change by its next read of the table.
                     tracing::info!(event = "table not told", holder = holder.holder, error = %e);
                 }
             };
-            exec::spawn(tell).detach();
+            exec::spawn(notify).detach();
         }
     }
 
     /// Returns the other runs that hold partitions, each once.
     fn other_holders(&self) -> Vec<Tenure> {
         let mut holders = self.view.lock().table.partitions.clone();
-        holders.retain(|t| !t.holder.is_empty() && !same_run(t, &self.me));
+        holders.retain(|t| !t.holder.is_empty() && !same_run(t, &self.own_tenure));
         holders.sort_by(|a, b| (&a.holder, a.run).cmp(&(&b.holder, b.run)));
         holders.dedup_by(|a, b| same_run(a, b));
         holders
@@ -146,7 +146,7 @@
         let seen = self.view.lock().version;
         if seen == 0 {
             let object = self.api.get(TABLE).await?;
-            self.take_in(object)?;
+            self.adopt_object(object)?;
         }
         let (version, next) = {
             let view = self.view.lock();
@@ -156,7 +156,7 @@
         let held = self.held();
         self.write(version, next).await?;
         if self.held() > held {
-            self.tell_others();
+            self.notify_other_holders();
         }
         Ok(())
     }
@@ -165,11 +165,11 @@
     async fn wait(&self) -> Result<(), PlatformError> {
         use futures_lite::FutureExt;
         let interval = match self.held() {
-            0 => OTHER_INTERVAL,
+            0 => NON_HOLDER_INTERVAL,
             _ => HOLDER_INTERVAL,
         };
         // With a short lease the usual interval would be too long.
-        let interval = interval.min(self.terms.lease / LOOKS_A_LEASE);
+        let interval = interval.min(self.terms.lease / READS_PER_LEASE);
         let suspicion = async {
             self.changed.listen().await;
             true
@@ -179,18 +179,18 @@
             false
         };
         if !suspicion.or(late).await {
-            self.suspect_any();
+            self.suspect_random();
         }
         let object = self.api.get(TABLE).await?;
-        self.take_in(object)
+        self.adopt_object(object)
     }
 
     /// Marks a random holder for a check, so that ended runs are found without requests.
-    fn suspect_any(&self) {
+    fn suspect_random(&self) {
         let mut view = self.view.lock();
-        let place = fastrand::usize(..PARTITIONS);
-        let holder = view.table.partitions.get(place).cloned().unwrap_or_default();
-        if !holder.holder.is_empty() && !same_run(&holder, &self.me) {
+        let partition = fastrand::usize(..PARTITIONS);
+        let holder = view.table.partitions.get(partition).cloned().unwrap_or_default();
+        if !holder.holder.is_empty() && !same_run(&holder, &self.own_tenure) {
             view.suspects.insert((holder.holder, holder.run));
         }
     }
@@ -215,13 +215,13 @@
             }
             Err(PlatformError::Conflict(_) | PlatformError::Unclear(..)) => {
                 let object = self.api.get(TABLE).await?;
-                self.take_in(object)
+                self.adopt_object(object)
             }
             Err(e) => Err(e),
         }
     }
 
-    fn take_in(&self, object: Option<Object>) -> Result<(), PlatformError> {
+    fn adopt_object(&self, object: Option<Object>) -> Result<(), PlatformError> {
         let Some(object) = object else { return Ok(()) };
         let table = serde_json::from_slice(&object.value)
             .map_err(|e| PlatformError::Answer("read the keys' table", e.to_string()))?;
@@ -239,25 +239,30 @@
         let mut next = view.table.clone();
         next.partitions.resize(PARTITIONS, Tenure::default());
         let mut changed = false;
-        for t in next.partitions.iter_mut().filter(|t| same_run(t, &self.me)) {
+        for t in next.partitions.iter_mut().filter(|t| same_run(t, &self.own_tenure)) {
             if let Some(renewed) = renewal(t, &self.terms, now) {
                 *t = renewed;
                 changed = true;
             }
         }
-        let mut places: Vec<_> = (0..PARTITIONS).collect();
-        fastrand::shuffle(&mut places);
-        let held = next.partitions.iter().filter(|t| same_run(t, &self.me)).count();
-        let room = self.most.saturating_sub(held).min(TAKEN_AT_A_TIME);
+        let mut partitions: Vec<_> = (0..PARTITIONS).collect();
+        fastrand::shuffle(&mut partitions);
+        let held =
+            next.partitions.iter().filter(|t| same_run(t, &self.own_tenure)).count();
+        let room = self.max_partitions.saturating_sub(held).min(MAX_TAKEN_PER_WRITE);
         let mut taken = 0;
-        for place in places {
+        for partition in partitions {
             if taken == room {
                 break;
             }
-            let t = &mut next.partitions[place];
-            let Some(new) =
-                takeover(t, &self.me, self.state_of(view, t), &self.terms, now)
-            else {
+            let t = &mut next.partitions[partition];
+            let Some(new) = takeover(
+                t,
+                &self.own_tenure,
+                self.holder_state(view, t),
+                &self.terms,
+                now,
+            ) else {
                 continue;
             };
             *t = new;
@@ -267,9 +272,9 @@
     }
 
     /// Returns whether the run that holds a partition is known to have ended.
-    fn state_of(&self, view: &View, t: &Tenure) -> Holder {
+    fn holder_state(&self, view: &View, t: &Tenure) -> Holder {
         // Only one run can listen at an address.
-        let replaced = t.holder == self.me.holder && t.run != self.me.run;
+        let replaced = t.holder == self.own_tenure.holder && t.run != self.own_tenure.run;
         let ended = view.ended.contains(&(t.holder.clone(), t.run));
         match replaced || ended {
             true => Holder::Ended,
@@ -279,7 +284,7 @@
 
     /// Asks each suspect for its run id; a different id proves that the old run has
     /// ended.
-    async fn prove_ends(&self) {
+    async fn check_suspects(&self) {
         let suspects = std::mem::take(&mut self.view.lock().suspects);
         for (addr, run) in suspects {
             let holder = Tenure { holder: addr.clone(), run, ..Tenure::default() };
--- a/crates/larkspring/src/entry/limits.rs
+++ b/crates/larkspring/src/entry/limits.rs
@@ -30,10 +30,10 @@
 struct Counts {
     all: AtomicUsize,
     by_caller: Mutex<HashMap<CallerId, usize>>,
-    ended: Event,
+    released: Event,
 }
 
-const RETRY: Duration = Duration::from_secs(1);
+const OVER_LIMIT_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 impl CallerLimits {
     /// Creates limits with no requests in progress.
@@ -42,8 +42,10 @@
     }
 
     /// Takes a slot for a request, or refuses the request if a limit is reached.
-    pub fn enter(&self, caller: &Caller) -> Result<Permit, Refusal> {
-        let refuse = |text| Refusal::not_run(Step::Admit, text).retry_after(RETRY);
+    pub fn acquire(&self, caller: &Caller) -> Result<Permit, Refusal> {
+        let refuse = |text| {
+            Refusal::not_run(Step::Admit, text).retry_after(OVER_LIMIT_RETRY_DELAY)
+        };
         if self.counts.all.load(Ordering::Relaxed) >= self.max {
             return Err(refuse("the entry has too many requests in progress"));
         }
@@ -62,9 +64,9 @@
     }
 
     /// Waits until no request is in progress.
-    pub async fn idle(&self) {
+    pub async fn wait_idle(&self) {
         loop {
-            let listener = self.counts.ended.listen();
+            let listener = self.counts.released.listen();
             if self.counts.all.load(Ordering::Acquire) == 0 {
                 return;
             }
@@ -83,6 +85,6 @@
             }
         }
         self.counts.all.fetch_sub(1, Ordering::AcqRel);
-        self.counts.ended.notify(usize::MAX);
+        self.counts.released.notify(usize::MAX);
     }
 }
--- a/crates/larkspring/src/entry/loads.rs
+++ b/crates/larkspring/src/entry/loads.rs
@@ -37,7 +37,7 @@
 }
 
 /// Maximum time that a call for a permit waits.
-const LONGEST_WAIT: Duration = Duration::from_secs(10);
+const MAX_PERMIT_WAIT: Duration = Duration::from_secs(10);
 
 impl Loads {
     /// Creates an unused budget.
@@ -76,14 +76,14 @@
 
     async fn permit(&self, req: PermitRequest) -> bool {
         let (tx, rx) = bounded(1);
-        let _waiter = Waiter { loads: self, load: req.load.clone() };
+        let _waiter = PendingPermit { loads: self, load: req.load.clone() };
         {
             let mut state = self.state.lock();
             state.waiting.insert(req.load.clone(), tx);
             state.budget.ask(Instant::now(), req.load, req.priority, req.waiting);
         }
         self.changed.notify(usize::MAX);
-        matches!(within(LONGEST_WAIT, rx.recv()).await, Some(Ok(())))
+        matches!(within(MAX_PERMIT_WAIT, rx.recv()).await, Some(Ok(())))
     }
 
     fn done(&self, load: &str) {
@@ -94,12 +94,12 @@
 
 /// Withdraws a load from the queue when its call ends, for example because the agent
 /// crashed.
-struct Waiter<'a> {
+struct PendingPermit<'a> {
     loads: &'a Loads,
     load: LoadId,
 }
 
-impl Drop for Waiter<'_> {
+impl Drop for PendingPermit<'_> {
     fn drop(&mut self) {
         let mut state = self.loads.state.lock();
         state.waiting.remove(&self.load);
--- a/crates/larkspring/src/entry/mod.rs
+++ b/crates/larkspring/src/entry/mod.rs
@@ -5,14 +5,14 @@
 //! decides whether the request runs.
 
 mod answer;
+mod at_most_once;
 mod dispatch;
+mod error_response;
 mod inbound;
 pub(crate) mod keys;
 mod limits;
 mod loads;
-mod once;
 mod operator;
-mod refuse;
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -40,11 +40,11 @@
 use tower_service::Service;
 use tracing::Instrument;
 
+use self::at_most_once::{Claim, ClaimResult};
 use self::inbound::Inbound;
 use self::keys::Keys;
 use self::limits::{CallerLimits, Permit};
 use self::loads::Loads;
-use self::once::{Claim, Claimed};
 use crate::agent::StartError;
 use crate::exec;
 use crate::follow::{self, Follower};
@@ -64,20 +64,20 @@
     pub addr: SocketAddr,
     /// The address on which operators are served, if the settings name an address.
     pub operator_addr: Option<SocketAddr>,
-    inner: Arc<Inner>,
+    inner: Arc<EntryState>,
     _stopper: rpc::serve::Stopper,
     _tasks: Vec<Task<()>>,
 }
 
 /// Routes calls of other processes to the services of an entry, by path.
 #[derive(Clone)]
-struct Control {
+struct ControlService {
     config: ConfigServer<follow::Service>,
     keys: KeysServer<keys::Service>,
     loads: LoadsServer<loads::Service>,
 }
 
-impl Service<http::Request<Incoming>> for Control {
+impl Service<http::Request<Incoming>> for ControlService {
     type Response = http::Response<tonic::body::Body>;
     type Error = Infallible;
     type Future =
@@ -103,7 +103,7 @@
 
 /// State shared by all requests of an entry.
 #[derive(Debug)]
-pub(crate) struct Inner {
+pub(crate) struct EntryState {
     cfg: EntryCfg,
     in_force: Arc<InForce>,
     router: Router,
@@ -113,7 +113,7 @@
     keys: Arc<Keys>,
     metrics: Metrics,
     name: String,
-    next: AtomicU64,
+    next_attempt: AtomicU64,
     stopping: AtomicBool,
 }
 
@@ -126,7 +126,7 @@
 const SPARE_CONNECTIONS: usize = 1000;
 /// Retry delay sent by an entry that is stopping. Short, as another entry can take the
 /// request at once.
-const STOPPING_RETRY: Duration = Duration::from_millis(100);
+const STOPPING_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 impl Entry {
     /// Starts an entry in the background.
@@ -148,7 +148,7 @@
         let relay = control_addr.to_string();
         let follower =
             Arc::new(Follower::new(in_force.clone(), &settings.platform, relay));
-        let service = Control {
+        let service = ControlService {
             config: ConfigServer::new(follow::Service { follower: follower.clone() }),
             keys: KeysServer::new(keys::Service { keys: keys.clone() }),
             loads: LoadsServer::new(loads::Service { loads, keys: keys.clone() }),
@@ -159,7 +159,7 @@
             let keys = keys.clone();
             exec::spawn(async move { follower.run(|| keys.held() > 0).await })
         };
-        let inner = Arc::new(Inner::new(cfg, settings, keys, in_force));
+        let inner = Arc::new(EntryState::new(cfg, settings, keys, in_force));
         let operators = match inner.cfg.operator {
             Some(addr) => Some(serve_operators(addr, &inner, settings).await?),
             None => None,
@@ -177,15 +177,15 @@
     pub async fn stop(self) {
         tracing::info!(addr = %self.addr, "entry is stopping");
         self.inner.stopping.store(true, Ordering::Release);
-        self.inner.keys.give_away().await;
-        exec::within(self.inner.cfg.stop_grace, self.inner.limits.idle()).await;
+        self.inner.keys.hand_over().await;
+        exec::within(self.inner.cfg.stop_grace, self.inner.limits.wait_idle()).await;
     }
 }
 
 /// Starts serving the operator API in the background.
 async fn serve_operators(
     addr: SocketAddr,
-    entry: &Arc<Inner>,
+    entry: &Arc<EntryState>,
     settings: &Settings,
 ) -> Result<(SocketAddr, Task<()>), StartError> {
     let listener =
@@ -201,7 +201,7 @@
     Ok((addr, task))
 }
 
-impl Inner {
+impl EntryState {
     fn new(
         cfg: EntryCfg,
         settings: &Settings,
@@ -217,7 +217,7 @@
             keys,
             metrics: Metrics::new(&settings.telemetry),
             name: format!("{:016x}", fastrand::u64(..)),
-            next: AtomicU64::new(1),
+            next_attempt: AtomicU64::new(1),
             stopping: AtomicBool::new(false),
             cfg,
         }
@@ -235,7 +235,7 @@
 
     /// Returns a unique attempt id.
     fn attempt_id(&self) -> String {
-        format!("{}-{}", self.name, self.next.fetch_add(1, Ordering::Relaxed))
+        format!("{}-{}", self.name, self.next_attempt.fetch_add(1, Ordering::Relaxed))
     }
 
     async fn answer(self: &Arc<Self>, req: Request) -> Result<Response, Refusal> {
@@ -244,7 +244,7 @@
         }
         if self.stopping.load(Ordering::Acquire) {
             let refusal = Refusal::not_run(Step::Choose, "this entry is stopping");
-            return Err(refusal.retry_after(STOPPING_RETRY));
+            return Err(refusal.retry_after(STOPPING_RETRY_DELAY));
         }
         let caller = self.caller(&req)?;
         if req.method() == Method::Get && req.url().path() == "/v1/models" {
@@ -264,15 +264,17 @@
     }
 
     async fn serve(self: &Arc<Self>, inbound: Inbound) -> Result<Response, Refusal> {
-        let permit = self.limits.enter(&inbound.caller)?;
+        let permit = self.limits.acquire(&inbound.caller)?;
         let attempt = self.attempt_id();
         let trace = inbound.trace.to_string();
-        let mut res = match once::claim(&self.keys, &inbound, &attempt).await? {
-            Claimed::Free => {
+        let mut res = match at_most_once::claim(&self.keys, &inbound, &attempt).await? {
+            ClaimResult::Free => {
                 answer::respond(dispatch::run(self, inbound).await?, permit, None)
             }
-            Claimed::Granted(claim) => self.serve_once(inbound, permit, claim).await?,
-            Claimed::Replay(answer) => once::replay(answer),
+            ClaimResult::Granted(claim) => {
+                self.serve_once(inbound, permit, claim).await?
+            }
+            ClaimResult::Replay(answer) => at_most_once::replay(answer),
         };
         res.insert_header("larkspring-attempt", attempt);
         res.insert_header("traceparent", trace);
@@ -291,17 +293,17 @@
         let work = async move {
             match dispatch::run(&entry, inbound).await {
                 Ok(begun) => {
-                    claim.begin(begun.begin.status, &begun.begin.content_type);
+                    claim.record_head(begun.begin.status, &begun.begin.content_type);
                     Ok(answer::respond(begun, permit, Some(claim)))
                 }
                 Err(refusal) => {
-                    claim.refused(&refusal).await;
+                    claim.settle_refused(&refusal).await;
                     Err(refusal)
                 }
             }
         };
         let work = exec::spawn(work.in_current_span());
-        Detached(Some(work)).await
+        DetachOnDrop(Some(work)).await
     }
 
     fn caller(&self, req: &Request) -> Result<Arc<Caller>, Refusal> {
@@ -340,7 +342,7 @@
     }
 }
 
-impl Handler for Inner {
+impl Handler for EntryState {
     async fn handle(self: Arc<Self>, req: Request, _: SocketAddr) -> Response {
         let started = Instant::now();
         let parent = req.header("traceparent").map(|v| v.as_str().to_owned());
@@ -353,7 +355,7 @@
                 self.metrics.count("answers", "outcome", refusal.outcome.name());
                 tracing::info!(%refusal, "refused");
                 let trace = TraceParent::next(parent.as_deref());
-                let mut res = refuse::response(&refusal);
+                let mut res = error_response::response(&refusal);
                 res.insert_header("traceparent", trace.to_string());
                 res
             }
@@ -364,7 +366,7 @@
 
     fn refuse(&self, error: &HeadError) -> Response {
         self.metrics.count("answers", "outcome", "unreadable");
-        refuse::unreadable(error)
+        error_response::unreadable(error)
     }
 
     fn stopping(&self) -> bool {
@@ -373,9 +375,9 @@
 }
 
 /// Waits for a task, and detaches the task instead of cancelling it when dropped.
-struct Detached<T>(Option<Task<T>>);
+struct DetachOnDrop<T>(Option<Task<T>>);
 
-impl<T> Future for Detached<T> {
+impl<T> Future for DetachOnDrop<T> {
     type Output = T;
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<T> {
@@ -386,7 +388,7 @@
     }
 }
 
-impl<T> Drop for Detached<T> {
+impl<T> Drop for DetachOnDrop<T> {
     fn drop(&mut self) {
         if let Some(task) = self.0.take() {
             task.detach();
--- a/crates/larkspring/src/entry/operator.rs
+++ b/crates/larkspring/src/entry/operator.rs
@@ -9,7 +9,7 @@
 use serde_json::json;
 use subtle::ConstantTimeEq;
 
-use super::{json_answer, refuse, Inner};
+use super::{error_response, json_answer, EntryState};
 use crate::http::bearer;
 use crate::http::head::HeadError;
 use crate::http::server::{Handler, Limits};
@@ -19,7 +19,7 @@
 
 /// Handles operator requests.
 pub(super) struct Operator {
-    pub entry: Arc<Inner>,
+    pub entry: Arc<EntryState>,
     pub api: HttpObjects,
     /// SHA-256 of the operators' key, in hex.
     pub key_sha256: String,
@@ -59,7 +59,7 @@
     }
 
     fn refuse(&self, error: &HeadError) -> Response {
-        refuse::unreadable(error)
+        error_response::unreadable(error)
     }
 }
 
--- a/crates/larkspring/src/follow.rs
+++ b/crates/larkspring/src/follow.rs
@@ -41,7 +41,7 @@
     /// Address on which this process serves followers; empty if it serves none.
     relay: String,
     /// Time of the last heartbeat, less its age.
-    alive: Mutex<Instant>,
+    last_heartbeat: Mutex<Instant>,
     /// The address on which each follower serves others, by follower id.
     followers: Mutex<HashMap<u64, String>>,
 }
@@ -49,24 +49,24 @@
 /// Followers that a process serves before it redirects the next follower.
 const FANOUT: usize = 12;
 /// Maximum number of followers if there is no process to redirect to.
-const MOST_FOLLOWERS: usize = 256;
+const MAX_FOLLOWERS: usize = 256;
 /// Interval between reads of the VM list by each process that watches the object API.
 const VM_LIST_INTERVAL: Duration = Duration::from_secs(1);
 /// Heartbeat interval.
-const ALIVE: Duration = Duration::from_secs(1);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 /// Age of the last heartbeat at which another process is followed.
-const STALE: Duration = Duration::from_millis(2500);
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(2500);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Initial and maximum pause before the next process is followed.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-const LONGEST_PAUSE: Duration = Duration::from_secs(5);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
 /// Consecutive failures after which the table is read again.
-const FAILURES_A_READ: u32 = 3;
+const FAILURES_PER_READ: u32 = 3;
 /// Size of the chunks in one message, in bytes, after which the next message begins.
-const MESSAGE_BYTES: usize = 256 * 1024;
+const MESSAGE_SPLIT_BYTES: usize = 256 * 1024;
 const READY_MESSAGES: usize = 2;
 /// Redirects that a follower accepts before it starts again at the root.
-const MOST_REDIRECTS: u32 = 4;
+const MAX_REDIRECTS: u32 = 4;
 
 impl Follower {
     /// Creates a follower; `relay` is the address on which it serves others, or empty.
@@ -78,7 +78,7 @@
             pool: Pool::new(1, CONNECT_TIMEOUT),
             peers: cfg.peers.clone(),
             relay,
-            alive: Mutex::new(Instant::now()),
+            last_heartbeat: Mutex::new(Instant::now()),
             followers: Mutex::default(),
         }
     }
@@ -91,11 +91,11 @@
         loop {
             if is_root() {
                 let watch = self.in_force.watch(&self.api, &is_root);
-                watch.or(self.be_alive()).or(self.watch_vms()).await;
+                watch.or(self.keep_heartbeat()).or(self.watch_vms()).await;
             }
             // The table is read rarely, so that the loss of a hall causes no burst of
             // reads at the object API.
-            let stale = failures % FAILURES_A_READ == FAILURES_A_READ - 1;
+            let stale = failures % FAILURES_PER_READ == FAILURES_PER_READ - 1;
             if holders.is_empty() || stale {
                 holders = self.holders().await.unwrap_or(holders);
             }
@@ -103,22 +103,22 @@
             let first = fastrand::choice(if none { &self.peers } else { &holders });
             let began = Instant::now();
             if let Some(first) = first.cloned() {
-                if let Err(status) = self.descend(first).await {
+                if let Err(status) = self.follow_tree(first).await {
                     tracing::info!(%status, "following another process");
                 }
             }
-            let lived = *self.alive.lock() > began;
+            let lived = *self.last_heartbeat.lock() > began;
             failures = if lived { 0 } else { failures + 1 };
             let mut rng = fastrand::Rng::new();
-            Timer::after(backoff(FIRST_PAUSE, LONGEST_PAUSE, failures, &mut rng)).await;
+            Timer::after(backoff(INITIAL_BACKOFF, MAX_BACKOFF, failures, &mut rng)).await;
         }
     }
 
     /// Keeps the heartbeat of a root current; never returns.
-    async fn be_alive(&self) {
+    async fn keep_heartbeat(&self) {
         loop {
-            *self.alive.lock() = Instant::now();
-            Timer::after(ALIVE / 2).await;
+            *self.last_heartbeat.lock() = Instant::now();
+            Timer::after(HEARTBEAT_INTERVAL / 2).await;
         }
     }
 
@@ -153,11 +153,11 @@
     }
 
     /// Follows a process, or one to which it redirects, until the stream ends or fails.
-    async fn descend(&self, first: String) -> Result<(), Status> {
+    async fn follow_tree(&self, first: String) -> Result<(), Status> {
         let mut addr = first;
-        for _ in 0..=MOST_REDIRECTS {
+        for _ in 0..=MAX_REDIRECTS {
             let mut down = self.open(&addr).await?;
-            match self.take(&mut down).await? {
+            match self.receive(&mut down).await? {
                 Some(next) => addr = next,
                 None => return Ok(()),
             }
@@ -175,27 +175,31 @@
         let req = FollowRequest { relay: self.relay.clone(), chunks };
         let mut client = ConfigClient::with_origin(channel, origin);
         let late = || Err(Status::deadline_exceeded("no answer in time"));
-        let reply = within(STALE, client.follow(req)).await.unwrap_or_else(late)?;
+        let reply =
+            within(HEARTBEAT_TIMEOUT, client.follow(req)).await.unwrap_or_else(late)?;
         Ok(reply.into_inner())
     }
 
     /// Applies updates until the stream ends; returns the address to follow instead, if
     /// redirected.
-    async fn take(&self, down: &mut Streaming<Update>) -> Result<Option<String>, Status> {
+    async fn receive(
+        &self,
+        down: &mut Streaming<Update>,
+    ) -> Result<Option<String>, Status> {
         let mut changed = HashMap::new();
         loop {
             let late = || Some(Err(Status::deadline_exceeded("no sign of life")));
-            let next = within(STALE, down.next()).await.unwrap_or_else(late);
+            let next = within(HEARTBEAT_TIMEOUT, down.next()).await.unwrap_or_else(late);
             let Some(update) = next else { return Ok(None) };
             let update = update?;
             if !update.redirect.is_empty() {
                 return Ok(fastrand::choice(update.redirect));
             }
             let age = Duration::from_millis(update.age_ms);
-            if age > STALE {
+            if age > HEARTBEAT_TIMEOUT {
                 return Err(Status::unavailable("it follows nobody that is alive"));
             }
-            *self.alive.lock() =
+            *self.last_heartbeat.lock() =
                 Instant::now().checked_sub(age).unwrap_or_else(Instant::now);
             self.in_force.set_leaving_vms(update.leaving_vms);
             for chunk in update.changed {
@@ -236,7 +240,7 @@
             .cloned()
             .collect();
         let full = followers.len() >= FANOUT && !onward.is_empty();
-        if full || followers.len() >= MOST_FOLLOWERS {
+        if full || followers.len() >= MAX_FOLLOWERS {
             return Err(onward);
         }
         let id = fastrand::u64(..);
@@ -264,7 +268,7 @@
         match self.follower.admit(&req.relay) {
             Ok(id) => {
                 let follower = self.follower.clone();
-                exec::spawn(pass_on(follower, id, req.chunks, tx)).detach();
+                exec::spawn(serve_follower(follower, id, req.chunks, tx)).detach();
             }
             Err(redirect) if redirect.is_empty() => {
                 return Err(Status::resource_exhausted("too many followers"));
@@ -278,7 +282,7 @@
 }
 
 /// Sends a follower each change and heartbeats until the follower disconnects.
-async fn pass_on(
+async fn serve_follower(
     follower: Arc<Follower>,
     id: u64,
     mut held: Vec<String>,
@@ -290,11 +294,11 @@
         let state = follower.in_force.state();
         let messages = match state.revision == sent {
             true => vec![Update::default()],
-            false => changes(&state, &mut held),
+            false => updates(&state, &mut held),
         };
         sent = state.revision;
         drop(state);
-        let age = follower.alive.lock().elapsed().as_millis() as u64;
+        let age = follower.last_heartbeat.lock().elapsed().as_millis() as u64;
         for mut message in messages {
             message.age_ms = age;
             message.leaving_vms = follower.in_force.leaving_vms().to_vec();
@@ -303,12 +307,12 @@
                 return;
             }
         }
-        within(ALIVE, changed).await;
+        within(HEARTBEAT_INTERVAL, changed).await;
     }
 }
 
 /// Returns the messages that update a follower from the chunks `held` to `state`.
-fn changes(
+fn updates(
     state: &larkspring_core::declared::State,
     held: &mut Vec<String>,
 ) -> Vec<Update> {
@@ -321,7 +325,7 @@
             continue;
         }
         held[place] = part.hash.clone();
-        if bytes > MESSAGE_BYTES {
+        if bytes > MESSAGE_SPLIT_BYTES {
             messages.push(Update::default());
             bytes = 0;
         }
--- a/crates/larkspring/src/http/client.rs
+++ b/crates/larkspring/src/http/client.rs
@@ -59,7 +59,7 @@
         ErrorKind::ConnectionRefused => HttpError::Refused(addr.into()),
         _ => HttpError::Connect(addr.into(), e.to_string()),
     })?;
-    let set = sock.set_nodelay(true).and_then(|()| forgets_unsent(&sock));
+    let set = sock.set_nodelay(true).and_then(|()| discard_unsent_on_close(&sock));
     set.map_err(|e| HttpError::Connect(addr.into(), e.to_string()))?;
     Ok(sock)
 }
@@ -70,7 +70,7 @@
 /// passed reaches a VM that resumes: a call of 100 KB can arrive complete at a peer that
 /// reads on after the call was abandoned. Discarding is safe, as a connection is closed
 /// only after its answer has been read or when no answer is wanted.
-fn forgets_unsent(sock: &TcpStream) -> io::Result<()> {
+fn discard_unsent_on_close(sock: &TcpStream) -> io::Result<()> {
     Ok(set_socket_linger(sock, Some(Duration::ZERO))?)
 }
 
@@ -93,7 +93,7 @@
     let work = async {
         let sock = connect(addr, limit).await?;
         let mut res = exchange(sock, addr, req).await?;
-        let body = read_whole(addr, &mut res).await?;
+        let body = read_body(addr, &mut res).await?;
         Ok((res, body))
     };
     let late = || Err(HttpError::Timeout(addr.into()));
@@ -101,7 +101,7 @@
 }
 
 /// Reads a body and checks that it has the declared length.
-async fn read_whole(addr: &str, res: &mut Response) -> Result<Vec<u8>, HttpError> {
+async fn read_body(addr: &str, res: &mut Response) -> Result<Vec<u8>, HttpError> {
     let len = res.len();
     let mut body = Vec::new();
     let mut reader = res.take_body().take(MAX_ANSWER as u64 + 1);
--- a/crates/larkspring/src/http/server.rs
+++ b/crates/larkspring/src/http/server.rs
@@ -129,7 +129,7 @@
         handler: Arc<H>,
     ) -> io::Result<Option<(Method, Response)>> {
         let peer = self.peer;
-        let decoded = async_h1::server::decode(Message::new(message)).await;
+        let decoded = async_h1::server::decode(BufferedRequest::new(message)).await;
         let Ok(Some((req, body))) = decoded else {
             let e = HeadError::Malformed("the request can't be read");
             return self.refuse(&*handler, &e).await.map(|()| None);
@@ -141,7 +141,7 @@
             Some((method, res))
         };
         let gone = async {
-            self.watch_hang_up().await;
+            self.watch_disconnect().await;
             None
         };
         Ok(work.or(gone).await)
@@ -163,7 +163,7 @@
             }
         };
         let gone = async {
-            self.watch_hang_up().await;
+            self.watch_disconnect().await;
             Ok(false)
         };
         copy.or(gone).await
@@ -231,7 +231,7 @@
     }
 
     /// Waits until the caller closes its side or the connection breaks.
-    async fn watch_hang_up(&mut self) {
+    async fn watch_disconnect(&mut self) {
         while self.buf.len() < MAX_PIPELINED {
             match self.read_some().await {
                 Ok(0) | Err(_) => return,
@@ -263,11 +263,11 @@
             }
             Ok(())
         };
-        drain.or(timed_out(LINGER)).await
+        drain.or(timed_out(LINGER_TIMEOUT)).await
     }
 }
 
-const LINGER: Duration = Duration::from_secs(1);
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 
 async fn timed_out<T>(limit: Duration) -> io::Result<T> {
     Timer::after(limit).await;
@@ -276,15 +276,15 @@
 
 /// A buffered request that async-h1 reads; writes are discarded.
 #[derive(Clone)]
-struct Message(Arc<Mutex<Cursor<Vec<u8>>>>);
+struct BufferedRequest(Arc<Mutex<Cursor<Vec<u8>>>>);
 
-impl Message {
+impl BufferedRequest {
     fn new(bytes: Vec<u8>) -> Self {
         Self(Arc::new(Mutex::new(Cursor::new(bytes))))
     }
 }
 
-impl AsyncRead for Message {
+impl AsyncRead for BufferedRequest {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -294,7 +294,7 @@
     }
 }
 
-impl AsyncWrite for Message {
+impl AsyncWrite for BufferedRequest {
     fn poll_write(
         self: Pin<&mut Self>,
         _: &mut Context<'_>,
--- a/crates/larkspring/src/in_force.rs
+++ b/crates/larkspring/src/in_force.rs
@@ -18,9 +18,9 @@
 /// Name of the object that holds the root.
 pub const ROOT: &str = "config/root";
 /// Maximum time that one watch waits at the object API.
-const WATCH: Duration = Duration::from_secs(10);
-const FIRST_WAIT: Duration = Duration::from_millis(100);
-const LONGEST_WAIT: Duration = Duration::from_secs(2);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
 /// The state in force; its revision never goes down.
 #[derive(Debug, Default)]
@@ -49,7 +49,7 @@
     }
 
     /// Waits until a state of at least `revision` is in force.
-    pub async fn reached(&self, revision: Revision) {
+    pub async fn wait_for_revision(&self, revision: Revision) {
         loop {
             let listener = self.changed.listen();
             if self.state.load().revision >= revision {
@@ -88,10 +88,10 @@
 
     /// Watches the object API while `go_on` returns true. The state in force stays in
     /// effect while the object API is unavailable.
-    pub async fn watch(&self, api: &dyn ObjectApi, go_on: impl Fn() -> bool) {
+    pub async fn watch(&self, api: &dyn ObjectApi, keep_watching: impl Fn() -> bool) {
         let mut seen = 0;
         let mut failures = 0;
-        while go_on() {
+        while keep_watching() {
             match self.step(api, seen).await {
                 Ok(version) => {
                     seen = version;
@@ -100,7 +100,7 @@
                 Err(e) => {
                     tracing::warn!(error = %e, "declared state not read, keeping the last");
                     let mut rng = fastrand::Rng::new();
-                    let wait = backoff(FIRST_WAIT, LONGEST_WAIT, failures, &mut rng);
+                    let wait = backoff(INITIAL_BACKOFF, MAX_BACKOFF, failures, &mut rng);
                     failures += 1;
                     Timer::after(wait).await;
                 }
@@ -113,7 +113,9 @@
         api: &dyn ObjectApi,
         seen: ObjectVersion,
     ) -> Result<ObjectVersion, PlatformError> {
-        let Some(object) = api.watch(ROOT, seen, WATCH).await? else { return Ok(seen) };
+        let Some(object) = api.watch(ROOT, seen, WATCH_TIMEOUT).await? else {
+            return Ok(seen);
+        };
         let root: Root = decode("read the root", &object.value)?;
         let parts = self.fetch_parts(api, &root).await?;
         if self.apply(root.revision, parts) {
--- a/crates/larkspring/src/operate/declare.rs
+++ b/crates/larkspring/src/operate/declare.rs
@@ -52,23 +52,23 @@
 
 /// Parses and validates texts, each with its file name, as one declaration.
 pub fn parse(texts: &[(String, String)]) -> Result<Chunk, DeclareError> {
-    let mut check = Check { texts, faults: String::new() };
+    let mut check = Validator { texts, errors: String::new() };
     let mut all = Chunk::default();
     for (file, text) in texts {
         match serde_yaml_ng::from_str::<Chunk>(text) {
             Ok(chunk) => merge(&mut all, chunk),
             Err(e) => {
                 let line = e.location().map_or(1, |l| l.line());
-                let _ = writeln!(check.faults, "{file}:{line}: {e}");
+                let _ = writeln!(check.errors, "{file}:{line}: {e}");
             }
         }
     }
-    if check.faults.is_empty() {
+    if check.errors.is_empty() {
         check.all(&all);
     }
-    match check.faults.is_empty() {
+    match check.errors.is_empty() {
         true => Ok(all),
-        false => Err(DeclareError::Faults(check.faults.trim_end().into())),
+        false => Err(DeclareError::Faults(check.errors.trim_end().into())),
     }
 }
 
@@ -80,12 +80,12 @@
 }
 
 /// Collects the errors of a declaration.
-struct Check<'a> {
+struct Validator<'a> {
     texts: &'a [(String, String)],
-    faults: String,
+    errors: String,
 }
 
-impl<'a> Check<'a> {
+impl<'a> Validator<'a> {
     fn all(&mut self, all: &Chunk) {
         self.unique("adapter", all.adapters.iter().map(|a| &*a.name));
         self.unique("caller", all.callers.iter().map(|c| &*c.name));
@@ -103,9 +103,9 @@
         let mut seen = BTreeSet::new();
         for name in names {
             if name.is_empty() {
-                self.fault("", &format!("an {kind} has no name"));
+                self.error("", &format!("an {kind} has no name"));
             } else if !seen.insert(name) {
-                self.fault(name, &format!("{kind} `{name}` is declared twice"));
+                self.error(name, &format!("{kind} `{name}` is declared twice"));
             }
         }
     }
@@ -114,10 +114,10 @@
         let name = &adapter.name;
         if name.contains(VERSION_MARK) {
             let text = format!("adapter `{name}` has `{VERSION_MARK}` in its name");
-            self.fault(name, &text);
+            self.error(name, &text);
         }
         if adapter.base.is_empty() {
-            self.fault(name, &format!("adapter `{name}` has no base model"));
+            self.error(name, &format!("adapter `{name}` has no base model"));
         }
         self.unique("version", adapter.versions.iter().map(|v| &*v.name));
         let default = &adapter.default_version;
@@ -126,7 +126,7 @@
             let text = format!(
                 "adapter `{name}`: default_version `{default}` is no live version"
             );
-            self.fault(name, &text);
+            self.error(name, &text);
         }
     }
 
@@ -136,11 +136,11 @@
         let hex = hash.bytes().all(|b| b.is_ascii_hexdigit());
         if hash.len() != HASH_LEN || !hex {
             let text = format!("caller `{name}`: key_sha256 is no SHA-256 in hex");
-            self.fault(name, &text);
+            self.error(name, &text);
         }
         if caller.priority > LEAST_URGENT {
             let text = format!("caller `{name}`: priority is over {LEAST_URGENT}");
-            self.fault(name, &text);
+            self.error(name, &text);
         }
     }
 
@@ -149,7 +149,7 @@
             let valid = rule.split_once(' ').is_some_and(|(_, p)| p.starts_with('/'));
             if !valid {
                 let text = format!("`{rule}` is no call like `POST /path`");
-                self.fault(&service.name, &text);
+                self.error(&service.name, &text);
             }
         }
     }
@@ -158,16 +158,16 @@
         let name = &endpoint.name;
         if endpoint.agent.parse::<SocketAddr>().is_err() {
             let text = format!("endpoint `{name}`: agent is no address");
-            self.fault(name, &text);
+            self.error(name, &text);
         }
         if endpoint.base.is_empty() == endpoint.service.is_empty() {
             let text = format!("endpoint `{name}` needs one of base and service");
-            self.fault(name, &text);
+            self.error(name, &text);
         }
         let service = &*endpoint.service;
         if !service.is_empty() && !services.contains(service) {
             let text = format!("endpoint `{name}`: service `{service}` isn't declared");
-            self.fault(name, &text);
+            self.error(name, &text);
         }
     }
 
@@ -177,15 +177,15 @@
             let name = &caller.name;
             if let Some(other) = seen.insert(caller.key_sha256.to_lowercase(), name) {
                 let text = format!("caller `{name}` has the key of caller `{other}`");
-                self.fault(name, &text);
+                self.error(name, &text);
             }
         }
     }
 
     /// Records an error at the line that declares `name`.
-    fn fault(&mut self, name: &str, what: &str) {
+    fn error(&mut self, name: &str, what: &str) {
         let (file, line) = self.find(name);
-        let _ = writeln!(self.faults, "{file}:{line}: {what}");
+        let _ = writeln!(self.errors, "{file}:{line}: {what}");
     }
 
     fn find(&self, name: &str) -> (&'a str, usize) {
--- a/crates/larkspring/src/operate/plan.rs
+++ b/crates/larkspring/src/operate/plan.rs
@@ -46,7 +46,7 @@
 }
 
 /// Share of the items of a kind above which a removal is listed as suspicious.
-const MASS_REMOVAL: f64 = 0.2;
+const SUSPICIOUS_REMOVED_SHARE: f64 = 0.2;
 
 /// Makes a plan for `wanted` and stores it.
 pub async fn make(
@@ -129,16 +129,20 @@
             plan.changes.insert(kind.into(), change);
         }
     };
-    add("adapters", kind(&now.adapters, &wanted.adapters, |a| &a.name));
-    add("callers", kind(&now.callers, &wanted.callers, |c| &c.name));
-    add("services", kind(&now.services, &wanted.services, |s| &s.name));
-    add("endpoints", kind(&now.endpoints, &wanted.endpoints, |e| &e.name));
+    add("adapters", compare_kind(&now.adapters, &wanted.adapters, |a| &a.name));
+    add("callers", compare_kind(&now.callers, &wanted.callers, |c| &c.name));
+    add("services", compare_kind(&now.services, &wanted.services, |s| &s.name));
+    add("endpoints", compare_kind(&now.endpoints, &wanted.endpoints, |e| &e.name));
     plan.costs = costs(now, wanted);
     plan.suspicious = suspicious(now, wanted, &plan.changes);
     plan
 }
 
-fn kind<T: PartialEq>(now: &[T], wanted: &[T], name: fn(&T) -> &String) -> KindChange {
+fn compare_kind<T: PartialEq>(
+    now: &[T],
+    wanted: &[T],
+    name: fn(&T) -> &String,
+) -> KindChange {
     let index = |all: &'_ [T]| -> BTreeMap<String, usize> {
         all.iter().enumerate().map(|(n, item)| (name(item).clone(), n)).collect()
     };
@@ -211,7 +215,7 @@
     ];
     for (kind, size) in sizes {
         let removed = changes.get(kind).map_or(0, |change| change.removed.len());
-        if removed > 0 && removed as f64 > MASS_REMOVAL * size as f64 {
+        if removed > 0 && removed as f64 > SUSPICIOUS_REMOVED_SHARE * size as f64 {
             found.push(format!("{removed} of {size} {kind} would go"));
         }
     }
--- a/crates/larkspring/src/operate/publish.rs
+++ b/crates/larkspring/src/operate/publish.rs
@@ -23,7 +23,7 @@
 /// Number of latest change ids kept in the root.
 const KEPT_CHANGES: usize = 64;
 /// Attempts to read the root back after a write with a lost reply.
-const READ_BACKS: u32 = 5;
+const READ_BACK_ATTEMPTS: u32 = 5;
 
 quick_error! {
     /// Error of a change that was not accepted, or not confirmed as accepted.
@@ -106,7 +106,7 @@
     let value = serde_json::to_vec(&root).unwrap_or_default();
     match api.put(ROOT, from.version, value).await {
         Ok(_) => Ok(root.revision),
-        Err(e) => resolve(api, change, e).await,
+        Err(e) => resolve_failed_write(api, change, e).await,
     }
 }
 
@@ -152,7 +152,7 @@
 }
 
 /// Determines by reading the root whether a change was accepted after its write failed.
-async fn resolve(
+async fn resolve_failed_write(
     api: &dyn ObjectApi,
     change: &str,
     cause: PlatformError,
@@ -160,7 +160,7 @@
     if let PlatformError::NoEffect(..) = cause {
         return Err(PublishError::Refused(cause.to_string()));
     }
-    for _ in 0..READ_BACKS {
+    for _ in 0..READ_BACK_ATTEMPTS {
         let Ok(now) = present(api).await else { continue };
         return match now.root.changes.iter().any(|c| c == change) {
             true => Ok(now.root.revision),
--- a/crates/larkspring/src/rpc/channel.rs
+++ b/crates/larkspring/src/rpc/channel.rs
@@ -118,7 +118,7 @@
     let origin = Uri::try_from(format!("http://{addr}"));
     let origin = origin.map_err(|_| HttpError::Address(addr.into()))?;
     let sock = connect(addr, limit).await?;
-    let shaken = Builder::new(HyperExecutor)
+    let handshake = Builder::new(HyperExecutor)
         .timer(SmolTimer::new())
         .initial_stream_window_size(STREAM_WINDOW)
         .initial_connection_window_size(CONNECTION_WINDOW)
@@ -127,7 +127,7 @@
         .handshake(FuturesIo::new(sock))
         .await;
     let (tx, conn) =
-        shaken.map_err(|e| HttpError::Connect(addr.into(), e.to_string()))?;
+        handshake.map_err(|e| HttpError::Connect(addr.into(), e.to_string()))?;
     exec::spawn(async move {
         // Each stream reports an error of the connection itself.
         let _ = conn.await;
--- a/crates/larkspring/src/settings.rs
+++ b/crates/larkspring/src/settings.rs
@@ -152,32 +152,32 @@
         let line = e.location().map_or(1, |l| l.line());
         SettingsError::Syntax(file.into(), line, e.to_string())
     })?;
-    let mut check = Check { file, text, faults: String::new() };
+    let mut check = Validator { file, text, errors: String::new() };
     let settings = check.settings(&raw);
-    match check.faults.is_empty() {
+    match check.errors.is_empty() {
         true => Ok(settings),
-        false => Err(SettingsError::Values(check.faults.trim_end().into())),
+        false => Err(SettingsError::Values(check.errors.trim_end().into())),
     }
 }
 
 const SHA256_DIGITS: usize = 64;
 /// Minimum ratio of the key lease to the clock skew.
-const LEAST_LEASE: u32 = 10;
+const MIN_LEASE_PER_SKEW: u32 = 10;
 const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
 /// Collects the errors of one file.
-struct Check<'a> {
+struct Validator<'a> {
     file: &'a str,
     text: &'a str,
-    faults: String,
+    errors: String,
 }
 
-impl Check<'_> {
+impl Validator<'_> {
     fn settings(&mut self, raw: &wire::Settings) -> Settings {
-        self.named("hall", &raw.hall);
-        self.named("vm", &raw.vm);
+        self.require_name("hall", &raw.hall);
+        self.require_name("vm", &raw.vm);
         if raw.entry.is_none() && raw.agent.is_none() {
-            self.fault("entry", "at least one of `entry` and `agent` is required");
+            self.error("entry", "at least one of `entry` and `agent` is required");
         }
         Settings {
             hall: raw.hall.clone(),
@@ -193,7 +193,7 @@
     fn entry(&mut self, raw: &wire::Entry) -> EntryCfg {
         let routing = Policy::parse(&raw.routing).unwrap_or_else(|| {
             let text = "must be one of predicted, random, least, hash";
-            self.fault("entry.routing", text);
+            self.error("entry.routing", text);
             Policy::Predicted
         });
         let cfg = EntryCfg {
@@ -225,26 +225,26 @@
         };
         if cfg.operator.is_some() && cfg.operator_key_sha256.len() != SHA256_DIGITS {
             let text = "must be the SHA-256 of a key in hex if entry.operator is set";
-            self.fault("entry.operator_key_sha256", text);
+            self.error("entry.operator_key_sha256", text);
         }
-        if cfg.terms.lease < cfg.terms.skew * LEAST_LEASE {
+        if cfg.terms.lease < cfg.terms.skew * MIN_LEASE_PER_SKEW {
             let text = "must be at least ten times entry.clock_skew_ms";
-            self.fault("entry.key_lease_ms", text);
+            self.error("entry.key_lease_ms", text);
         }
         if cfg.terms.retention < cfg.max_deadline {
             let text = "must be at least entry.max_deadline_ms";
-            self.fault("entry.key_retention_ms", text);
+            self.error("entry.key_retention_ms", text);
         }
         if cfg.default_deadline > cfg.max_deadline {
             let text = "must not exceed entry.max_deadline_ms";
-            self.fault("entry.default_deadline_ms", text);
+            self.error("entry.default_deadline_ms", text);
         }
         if cfg.max_streams_per_caller > cfg.max_streams {
             let text = "the limit is over entry.max_streams";
-            self.fault("entry.max_streams_per_caller", text);
+            self.error("entry.max_streams_per_caller", text);
         }
         if cfg.retry_percent > 100 {
-            self.fault("entry.retry_percent", "must not exceed 100");
+            self.error("entry.retry_percent", "must not exceed 100");
         }
         cfg
     }
@@ -260,7 +260,7 @@
     }
 
     fn agent(&mut self, raw: &wire::Agent) -> AgentCfg {
-        self.named("agent.endpoint", &raw.endpoint);
+        self.require_name("agent.endpoint", &raw.endpoint);
         self.address("agent.backend", &raw.backend);
         AgentCfg {
             listen: self.address("agent.listen", &raw.listen),
@@ -273,7 +273,7 @@
             load_timeout: millis(raw.load_timeout_ms, 30_000),
             poll: millis(raw.poll_ms, 500),
             eviction: Eviction::parse(&raw.eviction).unwrap_or_else(|| {
-                self.fault("agent.eviction", "must be one of heat, lru");
+                self.error("agent.eviction", "must be one of heat, lru");
                 Eviction::Heat
             }),
         }
@@ -300,7 +300,7 @@
         let (rate, concurrency) = (raw.load_rate, raw.load_concurrency as usize);
         if rate < 0.0 || (rate > 0.0) != (concurrency > 0) {
             let text = "load_rate and load_concurrency must be set together";
-            self.fault("platform.load_rate", text);
+            self.error("platform.load_rate", text);
         }
         (rate > 0.0).then_some(BudgetLimits { rate, concurrency })
     }
@@ -312,28 +312,28 @@
         let level = if raw.level.is_empty() { "info" } else { &raw.level };
         let level = level.parse().unwrap_or_else(|_| {
             let text = "must be one of error, warn, info, debug, trace";
-            self.fault("telemetry.level", text);
+            self.error("telemetry.level", text);
             tracing::Level::INFO
         });
         TelemetryCfg { statsd: raw.statsd.clone(), spans: raw.spans, level }
     }
 
-    fn named(&mut self, key: &str, value: &str) {
+    fn require_name(&mut self, key: &str, value: &str) {
         if value.is_empty() {
-            self.fault(key, "a name is needed");
+            self.error(key, "a name is needed");
         }
     }
 
     fn address(&mut self, key: &str, value: &str) -> SocketAddr {
         value.parse().unwrap_or_else(|_| {
-            self.fault(key, &format!("`{value}` is no address like 10.0.0.1:8080"));
+            self.error(key, &format!("`{value}` is no address like 10.0.0.1:8080"));
             ANY_PORT
         })
     }
 
-    fn fault(&mut self, key: &str, what: &str) {
+    fn error(&mut self, key: &str, what: &str) {
         let line = line_of(self.text, key);
-        let _ = writeln!(self.faults, "{}:{line}: {key}: {what}", self.file);
+        let _ = writeln!(self.errors, "{}:{line}: {key}: {what}", self.file);
     }
 }
 
--- a/crates/larkspring/src/telemetry.rs
+++ b/crates/larkspring/src/telemetry.rs
@@ -34,13 +34,14 @@
 
 /// Lines buffered for a slow reader; further lines are dropped, as a request never waits
 /// for the log.
-const WAITING_LINES: usize = 4096;
+const MAX_BUFFERED_LINES: usize = 4096;
 
 /// Starts the log of a process on VM `vm`; later calls have no effect.
 pub fn start_log(vm: &str, level: tracing::Level, spans: bool, to: LogTo) -> LogGuard {
     let spans = if spans { FmtSpan::CLOSE } else { FmtSpan::NONE };
-    let lines =
-        NonBlockingBuilder::default().buffered_lines_limit(WAITING_LINES).lossy(true);
+    let lines = NonBlockingBuilder::default()
+        .buffered_lines_limit(MAX_BUFFERED_LINES)
+        .lossy(true);
     let (writer, guard) = match to {
         LogTo::Stdout => lines.finish(io::stdout()),
         LogTo::Stderr => lines.finish(io::stderr()),
@@ -51,7 +52,7 @@
         .with_target(false)
         .with_max_level(level)
         .with_span_events(spans)
-        .with_writer(Named::new(writer, vm));
+        .with_writer(VmPrefixWriter::new(writer, vm));
     // In a process with several roles the first role starts the log.
     let _ = log.try_init();
     LogGuard(guard)
@@ -60,25 +61,25 @@
 /// Writes lines that begin with the name of the VM, so that lines of several processes
 /// can be distinguished after merging.
 #[derive(Clone)]
-struct Named {
+struct VmPrefixWriter {
     inner: NonBlocking,
     /// Replaces the opening brace of a line.
-    head: Arc<str>,
+    prefix: Arc<str>,
 }
 
-impl Named {
+impl VmPrefixWriter {
     fn new(inner: NonBlocking, vm: &str) -> Self {
         let vm = serde_json::Value::from(vm);
-        Self { inner, head: format!("{{\"vm\":{vm},").into() }
+        Self { inner, prefix: format!("{{\"vm\":{vm},").into() }
     }
 }
 
-impl io::Write for Named {
+impl io::Write for VmPrefixWriter {
     /// Writes one line; the formatter passes whole lines.
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         match line.split_first() {
             Some((b'{', rest)) => {
-                let named = [self.head.as_bytes(), rest].concat();
+                let named = [self.prefix.as_bytes(), rest].concat();
                 self.inner.write_all(&named)?;
             }
             _ => self.inner.write_all(line)?,
@@ -91,7 +92,7 @@
     }
 }
 
-impl MakeWriter<'_> for Named {
+impl MakeWriter<'_> for VmPrefixWriter {
     type Writer = Self;
 
     fn make_writer(&self) -> Self {
@@ -151,7 +152,7 @@
 impl TraceParent {
     /// Starts the span of this hop, in the trace of `header` if that is valid.
     pub fn next(header: Option<&str>) -> Self {
-        let trace = header.and_then(trace_of);
+        let trace = header.and_then(parse_trace_id);
         let new = || format!("{:032x}", fastrand::u128(1..));
         Self {
             trace: trace.unwrap_or_else(new),
@@ -166,7 +167,7 @@
     }
 }
 
-fn trace_of(header: &str) -> Option<String> {
+fn parse_trace_id(header: &str) -> Option<String> {
     let mut parts = header.split('-');
     let (_, trace, span) = (parts.next()?, parts.next()?, parts.next()?);
     let hex = |s: &str| s.bytes().all(|b| b.is_ascii_hexdigit());
--- a/crates/larkspring/src/wire.rs
+++ b/crates/larkspring/src/wire.rs
@@ -33,7 +33,7 @@
 }
 
 /// Converts a load report from its message.
-pub fn hint_from_wire(hint: wire::Hint) -> route::Hint {
+pub fn load_report_from_wire(hint: wire::Hint) -> route::Hint {
     route::Hint {
         running: hint.running,
         waiting: hint.waiting,
--- a/crates/larkspring/tests/clock.rs
+++ b/crates/larkspring/tests/clock.rs
@@ -10,7 +10,7 @@
 /// the monotonic clock stops meanwhile, so the view would seem fresh, and keys removed during
 /// the suspension would still be accepted.
 #[test]
-fn a_view_of_the_keys_ages_while_the_vm_is_suspended() {
+fn proof_of_the_keys_ages_during_a_vm_suspension() {
     const SUSPENDED: Duration = Duration::from_secs(60);
     let beliefs = Beliefs::default();
     beliefs.proved(Kind::Routing, Moment::now());
--- a/crates/larkspring/tests/exec.rs
+++ b/crates/larkspring/tests/exec.rs
@@ -3,7 +3,7 @@
 use larkspring::exec;
 
 #[test]
-fn task_that_panics_ends_alone() {
+fn panicking_task_does_not_stop_the_others() {
     let seen = exec::run(2, async {
         exec::spawn(async { panic!("a fault of the program") }).detach();
         exec::spawn(async { 7 }).await
--- a/crates/larkspring/tests/fence.rs
+++ b/crates/larkspring/tests/fence.rs
@@ -10,7 +10,7 @@
 
 /// An object API in memory, with outages and lost replies.
 #[derive(Clone, Default)]
-struct Fake(Arc<Mutex<State>>);
+struct FaultyObjects(Arc<Mutex<State>>);
 
 #[derive(Default)]
 struct State {
@@ -20,13 +20,13 @@
     lose_replies: u32,
 }
 
-impl Fake {
+impl FaultyObjects {
     fn set(&self, change: impl FnOnce(&mut State)) {
         change(&mut self.0.lock().unwrap());
     }
 }
 
-impl ObjectApi for Fake {
+impl ObjectApi for FaultyObjects {
     fn get<'a>(&'a self, name: &'a str) -> Answer<'a, Option<Object>> {
         Box::pin(async move {
             let state = self.0.lock().unwrap();
@@ -74,14 +74,14 @@
     }
 }
 
-fn fence(api: &Fake) -> Fence {
+fn fence(api: &FaultyObjects) -> Fence {
     Fence::new("engine-0", Box::new(api.clone()))
 }
 
 #[test]
-fn later_agent_has_a_higher_epoch_and_the_older_one_knows() {
+fn later_agent_takes_a_higher_epoch_and_the_earlier_one_detects_it() {
     smol::block_on(async {
-        let api = Fake::default();
+        let api = FaultyObjects::default();
         let (old, new) = (fence(&api), fence(&api));
         let first = old.take().await;
         assert!(old.is_held().await);
@@ -95,9 +95,9 @@
 }
 
 #[test]
-fn lost_replies_and_outages_give_no_false_right() {
+fn lost_replies_and_outages_never_show_a_stale_epoch_as_held() {
     smol::block_on(async {
-        let api = Fake::default();
+        let api = FaultyObjects::default();
         api.set(|state| state.lose_replies = 1);
         let agent = fence(&api);
         let epoch = agent.take().await;
--- a/crates/larkspring/tests/head.rs
+++ b/crates/larkspring/tests/head.rs
@@ -7,7 +7,7 @@
 const MAX_BODY: usize = 100;
 
 #[test]
-fn heads_are_read_or_refused() {
+fn heads_are_parsed_or_refused() {
     struct Case {
         text: &'static str,
         head: Result<Option<usize>, HeadError>,
@@ -62,7 +62,7 @@
     })]
 
     #[test]
-    fn any_bytes_are_read_or_refused(
+    fn any_bytes_are_parsed_or_refused(
         start in "(GET|POST|X) [ -~]{0,20} HTTP/1.[012]\r\n",
         lines in prop::collection::vec("[a-zA-Z-]{0,20}:[ -~\u{80}-\u{ff}]{0,30}\r\n", 0..8),
         rest in prop::collection::vec(any::<u8>(), 0..60),
--- a/crates/larkspring/tests/parse.rs
+++ b/crates/larkspring/tests/parse.rs
@@ -60,28 +60,28 @@
     #![proptest_config(config())]
 
     #[test]
-    fn settings_are_read_or_refused(text in yaml()) {
+    fn settings_are_parsed_or_refused(text in yaml()) {
         if let Err(e) = settings::parse("file", &text) {
             prop_assert!(names_a_line(&e.to_string()), "{e}");
         }
     }
 
     #[test]
-    fn declarations_are_read_or_refused(text in yaml()) {
+    fn declarations_are_parsed_or_refused(text in yaml()) {
         if let Err(e) = declare::parse(&[("file".into(), text)]) {
             prop_assert!(names_a_line(&e.to_string()), "{e}");
         }
     }
 
     #[test]
-    fn trace_header_is_taken_over_or_replaced(header in "\\PC{0,60}") {
+    fn trace_header_is_kept_or_replaced(header in "\\PC{0,60}") {
         let next = TraceParent::next(Some(&header));
         prop_assert_eq!((next.trace.len(), next.span.len()), (32, 16));
         prop_assert!(next.to_string().is_ascii());
     }
 
     #[test]
-    fn passed_on_chunk_is_read_or_refused(
+    fn relayed_chunk_is_parsed_or_refused(
         bytes in prop::collection::vec(any::<u8>(), 0..200),
     ) {
         if let Ok(part) = Part::from_message("hash", bytes.into()) {
