--- a/crates/larkspring/src/agent/backend.rs
+++ b/crates/larkspring/src/agent/backend.rs
@@ -11,15 +11,15 @@
 use crate::http::client::{connect, exchange, fetch, request, HttpError};
 
 /// Header with the run of the engine, on each answer of the engine.
-pub const INCARNATION: &str = "x-engine-incarnation";
+pub const INCARNATION_HEADER: &str = "x-engine-incarnation";
 /// Header with the adapter and version that answers.
-pub const ADAPTER: &str = "x-engine-adapter";
+pub const ADAPTER_HEADER: &str = "x-engine-adapter";
 /// Header with the id of a request, used to cancel and resume the request.
-pub const REQUEST: &str = "x-request-id";
+pub const REQUEST_ID_HEADER: &str = "x-request-id";
 /// Header with the priority of a request, from 0 (most urgent) to 9.
-pub const PRIORITY: &str = "x-priority";
+pub const PRIORITY_HEADER: &str = "x-priority";
 /// Header with the epoch of the agent that sends an order.
-pub const EPOCH: &str = "x-epoch";
+pub const EPOCH_HEADER: &str = "x-epoch";
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
@@ -157,7 +157,7 @@
         limit: Duration,
     ) -> Result<OrderDone, HttpError> {
         let mut req = request(Method::Post, &self.addr, path)?;
-        req.insert_header(EPOCH, epoch.to_string());
+        req.insert_header(EPOCH_HEADER, epoch.to_string());
         req.insert_header("content-type", "application/json");
         req.set_body(serde_json::to_vec(order).unwrap_or_default());
         let (res, body) = fetch(&self.addr, req, limit).await?;
--- a/crates/larkspring/src/agent/endpoint.rs
+++ b/crates/larkspring/src/agent/endpoint.rs
@@ -29,7 +29,7 @@
     cfg: AgentCfg,
     slots: Mutex<Slots>,
     verdicts: Mutex<HashMap<AttemptId, Sender<Verdict>>>,
-    next: AtomicU64,
+    next_id: AtomicU64,
     changed: Event,
     stopping: AtomicBool,
     /// VM of the endpoint.
@@ -78,7 +78,7 @@
         Self {
             slots: Mutex::new(Slots::new(super::limits(&cfg))),
             verdicts: Mutex::default(),
-            next: AtomicU64::new(1),
+            next_id: AtomicU64::new(1),
             changed: Event::new(),
             stopping: AtomicBool::new(false),
             vm: vm.into(),
@@ -125,7 +125,7 @@
 
     /// Queues a request, which waits until [`RequestSlot::wait_granted`].
     pub fn enqueue(self: &Arc<Self>, req: Waiting) -> Result<RequestSlot, Refusal> {
-        let id = self.next.fetch_add(1, Ordering::Relaxed);
+        let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         let (tx, verdict) = bounded(1);
         self.verdicts.lock().insert(id, tx);
         let admitted = self.slots.lock().admit(Instant::now(), id, req);
@@ -160,10 +160,10 @@
 
     /// Applies a report of the engine.
     pub fn apply_report(self: &Arc<Self>, report: &Report) {
-        let own = format!("{}-{}-", self.name(), self.fence.epoch());
+        let own_prefix = format!("{}-{}-", self.name(), self.fence.epoch());
         let foreign = |name: &str| {
             let of_adapter = report.running.iter().filter(|r| r.adapter == name);
-            of_adapter.filter(|r| !r.id.starts_with(&own)).count()
+            of_adapter.filter(|r| !r.id.starts_with(&own_prefix)).count()
         };
         let held = report.resident.iter().filter_map(|name| {
             let target = parse_target(name)?;
--- a/crates/larkspring/src/agent/job.rs
+++ b/crates/larkspring/src/agent/job.rs
@@ -17,17 +17,19 @@
 use tonic::{Status, Streaming};
 use tracing::Instrument;
 
-use super::backend::{ADAPTER, INCARNATION, PRIORITY, REQUEST};
+use super::backend::{
+    ADAPTER_HEADER, INCARNATION_HEADER, PRIORITY_HEADER, REQUEST_ID_HEADER,
+};
 use super::endpoint::{Endpoint, RequestSlot};
 use super::poll::SERVICE_VERSION;
 use super::START_TIMEOUT;
 use crate::exec::{self, within};
-use crate::rpc::credit::{units, Credit, MAX_CHUNK};
+use crate::rpc::credit::{units, Credit, MAX_CHUNK_BYTES};
 use crate::telemetry::TraceParent;
 use crate::wire::refusal_to_wire;
 
 /// Sender of messages to the entry.
-pub type Down = Sender<Result<DispatchDown, Status>>;
+pub type DownSender = Sender<Result<DispatchDown, Status>>;
 
 /// Last event of an engine's streamed answer; without it the answer is incomplete.
 const STREAM_END: &[u8] = b"data: [DONE]\n\n";
@@ -40,7 +42,11 @@
 const MAX_REVISION_WAIT: Duration = Duration::from_secs(4);
 
 /// Serves one call of an entry until the call ends.
-pub async fn run(endpoint: Arc<Endpoint>, mut up: Streaming<DispatchUp>, down: Down) {
+pub async fn run(
+    endpoint: Arc<Endpoint>,
+    mut up: Streaming<DispatchUp>,
+    down: DownSender,
+) {
     let first = within(START_TIMEOUT, up.next()).await.flatten();
     let Some(Ok(DispatchUp { kind: Some(dispatch_up::Kind::Start(start)) })) = first
     else {
@@ -77,7 +83,7 @@
     endpoint: Arc<Endpoint>,
     start: Start,
     credit: Arc<Credit>,
-    down: Down,
+    down: DownSender,
     trace: TraceParent,
 }
 
@@ -103,13 +109,13 @@
     /// Declared length of the answer in bytes, if any.
     len: Option<u64>,
     /// Whether the answer is an event stream.
-    events: bool,
-    tail: Tail,
+    is_event_stream: bool,
+    tail: LastBytes,
 }
 
 /// The last bytes of an answer.
 #[derive(Default)]
-struct Tail(Vec<u8>);
+struct LastBytes(Vec<u8>);
 
 impl Job {
     async fn run(&self) {
@@ -142,9 +148,11 @@
             worth: 1.0,
         };
         let mut slot = self.endpoint.enqueue(waiting)?;
-        let late = || late(Step::Queue, Refusal::not_run);
-        self.with_deadline(deadline, late, async { Ok(slot.wait_granted().await?) })
-            .await?;
+        let deadline_refusal = || deadline_refusal(Step::Queue, Refusal::not_run);
+        self.with_deadline(deadline, deadline_refusal, async {
+            Ok(slot.wait_granted().await?)
+        })
+        .await?;
         let load_wait = if slot.resident { Duration::ZERO } else { since.elapsed() };
         // Boxed, so that the memory of this step is freed before the relay, the longest
         // step.
@@ -211,12 +219,12 @@
             return Err(Refusal::not_run(Step::Send, text).elsewhere().into());
         }
         slot.mark_in_engine();
-        let late = || late(Step::Begin, Refusal::unknown);
+        let deadline_refusal = || deadline_refusal(Step::Begin, Refusal::unknown);
         let exchange = async {
             let sent = self.endpoint.backend.send(sock, req).await;
             sent.map_err(|e| Abort::from(Refusal::unknown(Step::Begin, e.to_string())))
         };
-        let res = self.with_deadline(deadline, late, exchange).await?;
+        let res = self.with_deadline(deadline, deadline_refusal, exchange).await?;
         self.check(slot, &res, target, run.as_deref())?;
         Ok(res)
     }
@@ -246,8 +254,8 @@
             return Ok(());
         }
         let header = |name: &str| res.header(name).map(|v| v.as_str());
-        let exact = header(ADAPTER) == Some(&target.to_string());
-        if exact && header(INCARNATION) == run {
+        let exact = header(ADAPTER_HEADER) == Some(&target.to_string());
+        if exact && header(INCARNATION_HEADER) == run {
             return Ok(());
         }
         let text = "another adapter or another run of the engine began to answer";
@@ -266,8 +274,8 @@
         };
         let built = built.map_err(|e| Refusal::not_run(Step::Send, e.to_string()));
         let mut req = built?;
-        req.insert_header(REQUEST, self.endpoint.request_id(slot.id));
-        req.insert_header(PRIORITY, self.start.priority.to_string());
+        req.insert_header(REQUEST_ID_HEADER, self.endpoint.request_id(slot.id));
+        req.insert_header(PRIORITY_HEADER, self.start.priority.to_string());
         req.insert_header("traceparent", self.trace.to_string());
         if !self.start.body.is_empty() {
             req.set_body(self.start.body.to_vec());
@@ -296,9 +304,9 @@
     ) -> Result<(), Abort> {
         let mut resumes = 0;
         loop {
-            let late = || late(Step::Stream, Refusal::failed);
+            let deadline_refusal = || deadline_refusal(Step::Stream, Refusal::failed);
             let broken = match self
-                .with_deadline(deadline, late, self.relay_body(&mut answer))
+                .with_deadline(deadline, deadline_refusal, self.relay_body(&mut answer))
                 .await
             {
                 Ok(()) if answer.is_complete() => return Ok(()),
@@ -307,7 +315,7 @@
                 Err(stop) => return Err(stop),
             };
             resumes += 1;
-            let resumable = self.start.model.is_some() && answer.events;
+            let resumable = self.start.model.is_some() && answer.is_event_stream;
             if !resumable || resumes > MAX_RESUMES {
                 return Err(Refusal::failed(Step::Stream, broken).into());
             }
@@ -320,7 +328,7 @@
     /// Relays the body as it arrives; a broken connection gives a refusal marked
     /// `elsewhere`.
     async fn relay_body(&self, answer: &mut Answer) -> Result<(), Abort> {
-        let mut buf = vec![0; MAX_CHUNK];
+        let mut buf = vec![0; MAX_CHUNK_BYTES];
         loop {
             let read = answer.body.read(&mut buf).await;
             let n = read.map_err(|e| {
@@ -352,7 +360,8 @@
         let req = req.map_err(|e| fail(e.to_string()))?;
         let sock = backend.connect().await.map_err(|e| fail(e.to_string()))?;
         let mut res = backend.send(sock, req).await.map_err(|e| fail(e.to_string()))?;
-        let same_run = res.header(INCARNATION).map(|v| v.as_str()) == run.as_deref();
+        let same_run =
+            res.header(INCARNATION_HEADER).map(|v| v.as_str()) == run.as_deref();
         match res.status() as u16 {
             200 if same_run => Ok(res.take_body()),
             200 => Err(fail("the engine restarted".into())),
@@ -364,7 +373,7 @@
     async fn with_deadline<T>(
         &self,
         deadline: Instant,
-        late: impl FnOnce() -> Refusal,
+        deadline_refusal: impl FnOnce() -> Refusal,
         work: impl std::future::Future<Output = Result<T, Abort>>,
     ) -> Result<T, Abort> {
         let gone = async {
@@ -373,7 +382,7 @@
         };
         let timer = async {
             Timer::at(deadline).await;
-            Err(late().into())
+            Err(deadline_refusal().into())
         };
         work.or(gone).or(timer).await
     }
@@ -386,29 +395,35 @@
 
 impl Answer {
     fn new(res: &Response) -> Self {
-        let events = res
+        let is_event_stream = res
             .header("content-type")
             .is_some_and(|v| v.as_str().starts_with(EVENT_STREAM));
         let len = res.len().map(|len| len as u64);
-        Self { body: Body::empty(), sent: 0, len, events, tail: Tail::default() }
+        Self {
+            body: Body::empty(),
+            sent: 0,
+            len,
+            is_event_stream,
+            tail: LastBytes::default(),
+        }
     }
 
     fn record(&mut self, chunk: &[u8]) {
         self.sent += chunk.len() as u64;
-        if self.events {
+        if self.is_event_stream {
             self.tail.push(chunk);
         }
     }
 
     fn is_complete(&self) -> bool {
-        match self.events {
+        match self.is_event_stream {
             true => self.tail.0 == STREAM_END,
             false => self.len.is_none_or(|len| len == self.sent),
         }
     }
 }
 
-impl Tail {
+impl LastBytes {
     fn push(&mut self, chunk: &[u8]) {
         self.0.extend_from_slice(chunk);
         let extra = self.0.len().saturating_sub(STREAM_END.len());
@@ -416,6 +431,6 @@
     }
 }
 
-fn late(step: Step, outcome: fn(Step, &'static str) -> Refusal) -> Refusal {
+fn deadline_refusal(step: Step, outcome: fn(Step, &'static str) -> Refusal) -> Refusal {
     outcome(step, "the deadline passed")
 }
--- a/crates/larkspring/src/agent/load_permits.rs
+++ b/crates/larkspring/src/agent/load_permits.rs
@@ -9,7 +9,7 @@
 use parking_lot::Mutex;
 use smol::Timer;
 
-use crate::entry::keys::{LEADING_PARTITION, TABLE};
+use crate::entry::keys::{LEADING_PARTITION, TABLE_OBJECT};
 use crate::exec::within;
 use crate::platform::objects::{HttpObjects, ObjectApi};
 use crate::rpc::channel::{Channel, Pool};
@@ -99,7 +99,7 @@
         if let Some(addr) = self.leader.lock().clone() {
             return Some(addr);
         }
-        let object = self.api.get(TABLE).await.ok()??;
+        let object = self.api.get(TABLE_OBJECT).await.ok()??;
         let table: KeyTable = serde_json::from_slice(&object.value).ok()?;
         let first = table.partitions.get(LEADING_PARTITION)?;
         *self.leader.lock() = Some(first.holder.clone());
--- a/crates/larkspring/src/agent/mod.rs
+++ b/crates/larkspring/src/agent/mod.rs
@@ -108,7 +108,7 @@
 }
 
 /// Messages to an entry that may be queued before the connection takes them.
-const READY_MESSAGES: usize = 4;
+const MAX_QUEUED_MESSAGES: usize = 4;
 /// Limit on the time until the first message of a call.
 const START_TIMEOUT: Duration = Duration::from_secs(5);
 
@@ -121,7 +121,7 @@
         &self,
         req: Request<Streaming<DispatchUp>>,
     ) -> Result<Response<Self::DispatchStream>, Status> {
-        let (tx, rx) = channel::bounded(READY_MESSAGES);
+        let (tx, rx) = channel::bounded(MAX_QUEUED_MESSAGES);
         let job = job::run(self.endpoint.clone(), req.into_inner(), tx);
         exec::spawn(job).detach();
         Ok(Response::new(Box::pin(rx)))
--- a/crates/larkspring/src/entry/answer.rs
+++ b/crates/larkspring/src/entry/answer.rs
@@ -34,9 +34,9 @@
 pub fn respond(begun: StartedAnswer, permit: Permit, claim: Option<Claim>) -> Response {
     let mut res = Response::new(begun.begin.status as u16);
     let content_type = begun.begin.content_type.clone();
-    let events = content_type.starts_with(EVENT_STREAM);
+    let is_event_stream = content_type.starts_with(EVENT_STREAM);
     let deadline = begun.deadline;
-    let relay = Relay::new(begun.call, permit, claim, events, deadline);
+    let relay = Relay::new(begun.call, permit, claim, is_event_stream, deadline);
     res.set_body(Body::from_reader(SyncRelay(Mutex::new(relay)), None));
     let wait = begun.begin.load_wait_us;
     res.insert_header(LOAD_WAIT_HEADER, wait.to_string());
@@ -57,7 +57,7 @@
     permit: Option<Permit>,
     /// Settled when the answer ends.
     claim: Option<Claim>,
-    events: bool,
+    is_event_stream: bool,
     chunk: Bytes,
     /// Units that were received and not yet granted again.
     pending_credit: u32,
@@ -70,14 +70,14 @@
         call: Call,
         permit: Permit,
         claim: Option<Claim>,
-        events: bool,
+        is_event_stream: bool,
         deadline: Instant,
     ) -> Self {
         Self {
             call: Some(call),
             permit: Some(permit),
             claim,
-            events,
+            is_event_stream,
             chunk: Bytes::new(),
             pending_credit: 0,
             failure: None,
@@ -151,7 +151,7 @@
     /// Ends the answer as interrupted; an event stream gets a last event with the error.
     fn interrupt(&mut self, refusal: Refusal) {
         tracing::info!(%refusal, "an answer broke off");
-        if self.events {
+        if self.is_event_stream {
             let body = error_response::body(&refusal);
             self.chunk = format!("event: error\ndata: {body}\n\n").into();
         }
@@ -171,7 +171,7 @@
             call: self.call.take(),
             permit: self.permit.take(),
             claim: self.claim.take(),
-            events: self.events,
+            is_event_stream: self.is_event_stream,
             chunk: Bytes::new(),
             pending_credit: self.pending_credit,
             failure: None,
--- a/crates/larkspring/src/entry/keys/handover.rs
+++ b/crates/larkspring/src/entry/keys/handover.rs
@@ -9,7 +9,7 @@
 };
 use tonic::Status;
 
-use super::{timed, Keys};
+use super::{with_call_timeout, Keys};
 
 /// Attempts to write the table.
 const WRITE_ATTEMPTS: u32 = 5;
@@ -73,7 +73,7 @@
             claims: claims.into_iter().map(to_message).collect(),
         };
         let mut client = self.client(&successor).await.ok()?;
-        let reply = timed(client.handover(req)).await.ok()?;
+        let reply = with_call_timeout(client.handover(req)).await.ok()?;
         Some(Tenure { run: reply.run, vm: reply.vm, ..successor })
     }
 
--- a/crates/larkspring/src/entry/keys/mod.rs
+++ b/crates/larkspring/src/entry/keys/mod.rs
@@ -26,7 +26,7 @@
 
 pub use self::rpc::Service;
 use self::table::View;
-pub use self::table::TABLE;
+pub use self::table::TABLE_OBJECT;
 use crate::exec::within;
 use crate::platform::objects::HttpObjects;
 use crate::rpc::channel::{Channel, Pool};
@@ -57,7 +57,7 @@
     /// Partition of the key.
     pub partition: usize,
     /// Creation time of the key; 0 if the key carries none.
-    pub birth: Millis,
+    pub created_ms: Millis,
     /// The claim.
     pub ask: Ask,
 }
@@ -174,7 +174,7 @@
                 answer: answer.clone(),
             };
             let Ok(mut client) = self.client(&holder).await else { continue };
-            if timed(client.settle(req)).await.is_ok() {
+            if with_call_timeout(client.settle(req)).await.is_ok() {
                 return;
             }
         }
@@ -199,7 +199,7 @@
         if let Some((verdict, answer)) = claims.look(now, &key.ask) {
             return ClaimAnswer { verdict, retry_after: None, answer };
         }
-        match standing(&tenure, &self.terms, now, key.birth) {
+        match standing(&tenure, &self.terms, now, key.created_ms) {
             Standing::Known => {
                 let (verdict, answer) = claims.claim(now, key.ask);
                 ClaimAnswer { verdict, retry_after: None, answer }
@@ -242,13 +242,13 @@
             partition: key.partition as u32,
             run: holder.run,
             key: key.ask.key.to_be_bytes().to_vec().into(),
-            birth_ms: key.birth,
+            birth_ms: key.created_ms,
             request: key.ask.request,
             attempt: key.ask.attempt.clone(),
             deadline_ms: key.ask.deadline.saturating_sub(now),
         };
         let mut client = self.client(holder).await?;
-        let reply = timed(client.claim(req)).await?;
+        let reply = with_call_timeout(client.claim(req)).await?;
         Ok(ClaimAnswer::from_reply(reply))
     }
 
@@ -288,7 +288,7 @@
         let deadline = wall_clock() + millis(left);
         Self {
             partition: (hash % PARTITIONS as u128) as usize,
-            birth: birth(key),
+            created_ms: created_ms(key),
             ask: Ask { key: hash, request, attempt, deadline },
         }
     }
@@ -307,7 +307,7 @@
 }
 
 /// Returns the creation time in a UUID of version 7; 0 for any other key.
-fn birth(key: &str) -> Millis {
+fn created_ms(key: &str) -> Millis {
     let uuid = Uuid::parse_str(key).ok().filter(|id| id.get_version_num() == 7);
     let time = uuid.and_then(|id| id.get_timestamp()).map(|t| t.to_unix());
     time.map_or(0, |(secs, nanos)| secs * 1000 + u64::from(nanos) / 1_000_000)
@@ -320,7 +320,7 @@
 }
 
 /// Waits for a call to another entry, at most [`CALL_TIMEOUT`].
-async fn timed<T>(
+async fn with_call_timeout<T>(
     call: impl std::future::Future<Output = Result<tonic::Response<T>, Status>>,
 ) -> Result<T, Status> {
     let late = || Err(Status::deadline_exceeded("no answer in time"));
--- a/crates/larkspring/src/entry/keys/rpc.rs
+++ b/crates/larkspring/src/entry/keys/rpc.rs
@@ -28,7 +28,7 @@
         let req = req.into_inner();
         let key = KeyClaim {
             partition: partition(req.partition)?,
-            birth: req.birth_ms,
+            created_ms: req.birth_ms,
             ask: Ask {
                 key: key(&req.key)?,
                 request: req.request,
@@ -52,7 +52,7 @@
         let req = req.into_inner();
         let ask =
             Ask { key: key(&req.key)?, request: 0, attempt: req.attempt, deadline: 0 };
-        let key = KeyClaim { partition: partition(req.partition)?, birth: 0, ask };
+        let key = KeyClaim { partition: partition(req.partition)?, created_ms: 0, ask };
         self.keys.settle_here(&key, Settled::from_code(req.settled), req.answer);
         Ok(Response::new(SettleReply {}))
     }
--- a/crates/larkspring/src/entry/keys/table.rs
+++ b/crates/larkspring/src/entry/keys/table.rs
@@ -9,7 +9,7 @@
 use larkspring_proto::keys::{HelloReply, HelloRequest, KeyTable, Tenure};
 use smol::Timer;
 
-use super::{timed, wall_clock, Keys};
+use super::{wall_clock, with_call_timeout, Keys};
 use crate::exec;
 use crate::platform::objects::{Object, ObjectApi, ObjectVersion};
 use crate::platform::PlatformError;
@@ -28,7 +28,7 @@
 /// Minimum number of reads of the table during one lease.
 const READS_PER_LEASE: u32 = 16;
 /// Name of the object that holds the table.
-pub const TABLE: &str = "keys/table";
+pub const TABLE_OBJECT: &str = "keys/table";
 /// Pause between two maintenance steps.
 const STEP_INTERVAL: Duration = Duration::from_millis(200);
 /// Pause after a failure of the object API.
@@ -63,7 +63,7 @@
 
     /// Reads the table now: from the object API, or from other entries if that fails.
     pub(super) async fn refresh(&self) {
-        match self.api.get(TABLE).await {
+        match self.api.get(TABLE_OBJECT).await {
             Ok(object) => drop(self.adopt_object(object)),
             Err(_) => self.refresh_from_others().await,
         }
@@ -87,7 +87,7 @@
         for holder in holders.iter().take(MAX_ASKED_PER_REFRESH) {
             let Ok(mut client) = self.client(holder).await else { continue };
             let req = HelloRequest::default();
-            let Ok(reply) = timed(client.hello(req)).await else { continue };
+            let Ok(reply) = with_call_timeout(client.hello(req)).await else { continue };
             self.adopt(reply.version, reply.table.unwrap_or_default());
         }
     }
@@ -104,7 +104,9 @@
                 let (version, table) = keys.known_table();
                 let req = HelloRequest { version, table: Some(table) };
                 let notified = match keys.client(&holder).await {
-                    Ok(mut client) => timed(client.hello(req)).await.map(drop),
+                    Ok(mut client) => {
+                        with_call_timeout(client.hello(req)).await.map(drop)
+                    }
                     Err(e) => Err(e),
                 };
                 if let Err(e) = notified {
@@ -145,7 +147,7 @@
     async fn step(self: &Arc<Self>) -> Result<(), PlatformError> {
         let seen = self.view.lock().version;
         if seen == 0 {
-            let object = self.api.get(TABLE).await?;
+            let object = self.api.get(TABLE_OBJECT).await?;
             self.adopt_object(object)?;
         }
         let (version, next) = {
@@ -181,7 +183,7 @@
         if !suspicion.or(late).await {
             self.suspect_random();
         }
-        let object = self.api.get(TABLE).await?;
+        let object = self.api.get(TABLE_OBJECT).await?;
         self.adopt_object(object)
     }
 
@@ -208,13 +210,13 @@
         table: KeyTable,
     ) -> Result<(), PlatformError> {
         let value = serde_json::to_vec(&table).unwrap_or_default();
-        match self.api.put(TABLE, version, value).await {
+        match self.api.put(TABLE_OBJECT, version, value).await {
             Ok(version) => {
                 self.adopt(version, table);
                 Ok(())
             }
             Err(PlatformError::Conflict(_) | PlatformError::Unclear(..)) => {
-                let object = self.api.get(TABLE).await?;
+                let object = self.api.get(TABLE_OBJECT).await?;
                 self.adopt_object(object)
             }
             Err(e) => Err(e),
@@ -289,7 +291,7 @@
         for (addr, run) in suspects {
             let holder = Tenure { holder: addr.clone(), run, ..Tenure::default() };
             let Ok(mut client) = self.client(&holder).await else { continue };
-            match timed(client.hello(HelloRequest::default())).await {
+            match with_call_timeout(client.hello(HelloRequest::default())).await {
                 Ok(reply) if reply.run != run => {
                     self.view.lock().ended.insert((addr, run));
                 }
--- a/crates/larkspring/src/entry/loads.rs
+++ b/crates/larkspring/src/entry/loads.rs
@@ -18,7 +18,7 @@
 use crate::exec::within;
 
 /// The load budget, and the agents that wait for a permit.
-pub struct Loads {
+pub struct LoadGranter {
     state: Mutex<State>,
     changed: Event,
 }
@@ -31,7 +31,7 @@
 /// Serves load permits to agents, if this entry leads.
 pub struct Service {
     /// The budget.
-    pub loads: Arc<Loads>,
+    pub loads: Arc<LoadGranter>,
     /// Decides whether this entry leads.
     pub keys: Arc<Keys>,
 }
@@ -39,7 +39,7 @@
 /// Maximum time that a call for a permit waits.
 const MAX_PERMIT_WAIT: Duration = Duration::from_secs(10);
 
-impl Loads {
+impl LoadGranter {
     /// Creates an unused budget.
     pub fn new(limits: BudgetLimits) -> Self {
         let state = State { budget: Budget::new(limits), waiting: HashMap::new() };
@@ -95,7 +95,7 @@
 /// Withdraws a load from the queue when its call ends, for example because the agent
 /// crashed.
 struct PendingPermit<'a> {
-    loads: &'a Loads,
+    loads: &'a LoadGranter,
     load: LoadId,
 }
 
--- a/crates/larkspring/src/entry/mod.rs
+++ b/crates/larkspring/src/entry/mod.rs
@@ -44,7 +44,7 @@
 use self::inbound::Inbound;
 use self::keys::Keys;
 use self::limits::{CallerLimits, Permit};
-use self::loads::Loads;
+use self::loads::LoadGranter;
 use crate::agent::StartError;
 use crate::exec;
 use crate::follow::{self, Follower};
@@ -112,7 +112,7 @@
     limits: CallerLimits,
     keys: Arc<Keys>,
     metrics: Metrics,
-    name: String,
+    process_id: String,
     next_attempt: AtomicU64,
     stopping: AtomicBool,
 }
@@ -142,7 +142,7 @@
         let control_addr = control.local_addr().unwrap_or(cfg.control);
         let keys = Arc::new(Keys::new(&cfg, settings, control_addr));
         let loads = settings.platform.loads.unwrap_or(UNLIMITED);
-        let loads = Arc::new(Loads::new(loads));
+        let loads = Arc::new(LoadGranter::new(loads));
         let granting = exec::spawn(loads.clone().run());
         let in_force = Arc::new(InForce::default());
         let relay = control_addr.to_string();
@@ -216,7 +216,7 @@
             limits: CallerLimits::new(cfg.max_streams, cfg.max_streams_per_caller),
             keys,
             metrics: Metrics::new(&settings.telemetry),
-            name: format!("{:016x}", fastrand::u64(..)),
+            process_id: format!("{:016x}", fastrand::u64(..)),
             next_attempt: AtomicU64::new(1),
             stopping: AtomicBool::new(false),
             cfg,
@@ -235,7 +235,11 @@
 
     /// Returns a unique attempt id.
     fn attempt_id(&self) -> String {
-        format!("{}-{}", self.name, self.next_attempt.fetch_add(1, Ordering::Relaxed))
+        format!(
+            "{}-{}",
+            self.process_id,
+            self.next_attempt.fetch_add(1, Ordering::Relaxed)
+        )
     }
 
     async fn answer(self: &Arc<Self>, req: Request) -> Result<Response, Refusal> {
--- a/crates/larkspring/src/entry/operator.rs
+++ b/crates/larkspring/src/entry/operator.rs
@@ -43,8 +43,8 @@
 
 impl Handler for Operator {
     async fn handle(self: Arc<Self>, mut req: Request, _: SocketAddr) -> Response {
-        if !self.allowed(&req) {
-            return fault(401, "a valid operator key is needed");
+        if !self.is_authorized(&req) {
+            return error_answer(401, "a valid operator key is needed");
         }
         let path = req.url().path().to_owned();
         let parts: Vec<_> = path.split('/').skip(1).collect();
@@ -54,7 +54,7 @@
             (Method::Post, ["plans", id, "confirm"]) => self.confirm(id).await,
             (Method::Get, ["status"]) => self.status(),
             (Method::Get, ["declared"]) => self.declared().await,
-            _ => fault(404, "no such path"),
+            _ => error_answer(404, "no such path"),
         }
     }
 
@@ -64,7 +64,7 @@
 }
 
 impl Operator {
-    fn allowed(&self, req: &Request) -> bool {
+    fn is_authorized(&self, req: &Request) -> bool {
         let header = req.header("authorization").map(|v| v.as_str());
         let key = header.and_then(|v| bearer(v.as_bytes())).unwrap_or_default();
         let hash = key_hash(std::str::from_utf8(key).unwrap_or_default());
@@ -73,11 +73,11 @@
 
     async fn plan(&self, req: &mut Request) -> Response {
         let Ok(text) = req.body_string().await else {
-            return fault(400, "the declaration is no text");
+            return error_answer(400, "the declaration is no text");
         };
         let wanted = match declare::parse(&[("declaration".into(), text)]) {
             Ok(wanted) => wanted,
-            Err(e) => return fault(422, &e.to_string()),
+            Err(e) => return error_answer(422, &e.to_string()),
         };
         let id = format!("{:032x}", fastrand::u128(..));
         match plan::make(&self.api, &wanted, &id).await {
@@ -85,7 +85,7 @@
                 plan.chunks.clear();
                 json_answer(200, &json!(plan))
             }
-            Err(e) => refusal(&e),
+            Err(e) => publish_error_answer(&e),
         }
     }
 
@@ -95,15 +95,15 @@
                 plan.chunks.clear();
                 json_answer(200, &json!(plan))
             }
-            Ok(None) => fault(404, "no such plan"),
-            Err(e) => fault(503, &e.to_string()),
+            Ok(None) => error_answer(404, "no such plan"),
+            Err(e) => error_answer(503, &e.to_string()),
         }
     }
 
     async fn confirm(&self, id: &str) -> Response {
         match plan::confirm(&self.api, id).await {
             Ok(revision) => json_answer(200, &json!({ "revision": revision })),
-            Err(e) => refusal(&e),
+            Err(e) => publish_error_answer(&e),
         }
     }
 
@@ -132,20 +132,20 @@
                     "changes": from.root.changes, "declared": all });
                 json_answer(200, &body)
             }
-            Err(e) => fault(503, &e.to_string()),
+            Err(e) => error_answer(503, &e.to_string()),
         }
     }
 }
 
-fn refusal(error: &PublishError) -> Response {
+fn publish_error_answer(error: &PublishError) -> Response {
     let status = match error {
         PublishError::Refused(_) => 503,
         PublishError::Outdated(_) => 409,
         PublishError::Unknown(..) => 504,
     };
-    fault(status, &error.to_string())
+    error_answer(status, &error.to_string())
 }
 
-fn fault(status: u16, message: &str) -> Response {
+fn error_answer(status: u16, message: &str) -> Response {
     json_answer(status, &json!({ "error": { "message": message } }))
 }
--- a/crates/larkspring/src/exec.rs
+++ b/crates/larkspring/src/exec.rs
@@ -18,11 +18,11 @@
 
 /// Runs `work` for at most `limit`; `None` if it did not end by then.
 pub async fn within<T>(limit: Duration, work: impl Future<Output = T>) -> Option<T> {
-    let late = async {
+    let timeout = async {
         Timer::after(limit).await;
         None
     };
-    async { Some(work.await) }.or(late).await
+    async { Some(work.await) }.or(timeout).await
 }
 
 /// Runs `main` to completion on `threads` threads, at least one.
--- a/crates/larkspring/src/follow.rs
+++ b/crates/larkspring/src/follow.rs
@@ -22,7 +22,7 @@
 use smol::Timer;
 use tonic::{Request, Response, Status, Streaming};
 
-use crate::entry::keys::TABLE;
+use crate::entry::keys::TABLE_OBJECT;
 use crate::exec::{self, within};
 use crate::in_force::InForce;
 use crate::platform::objects::{HttpObjects, ObjectApi};
@@ -39,7 +39,7 @@
     pool: Pool,
     peers: Vec<String>,
     /// Address on which this process serves followers; empty if it serves none.
-    relay: String,
+    relay_addr: String,
     /// Time of the last heartbeat, less its age.
     last_heartbeat: Mutex<Instant>,
     /// The address on which each follower serves others, by follower id.
@@ -64,20 +64,20 @@
 const FAILURES_PER_READ: u32 = 3;
 /// Size of the chunks in one message, in bytes, after which the next message begins.
 const MESSAGE_SPLIT_BYTES: usize = 256 * 1024;
-const READY_MESSAGES: usize = 2;
+const MAX_QUEUED_MESSAGES: usize = 2;
 /// Redirects that a follower accepts before it starts again at the root.
 const MAX_REDIRECTS: u32 = 4;
 
 impl Follower {
-    /// Creates a follower; `relay` is the address on which it serves others, or empty.
-    pub fn new(in_force: Arc<InForce>, cfg: &PlatformCfg, relay: String) -> Self {
+    /// Creates a follower; `relay_addr` is the address on which it serves others, or empty.
+    pub fn new(in_force: Arc<InForce>, cfg: &PlatformCfg, relay_addr: String) -> Self {
         Self {
             in_force,
             api: HttpObjects::new(&cfg.objects, cfg.timeout),
             vms: (!cfg.vms.is_empty()).then(|| HttpVms::new(&cfg.vms, cfg.timeout)),
             pool: Pool::new(1, CONNECT_TIMEOUT),
             peers: cfg.peers.clone(),
-            relay,
+            relay_addr,
             last_heartbeat: Mutex::new(Instant::now()),
             followers: Mutex::default(),
         }
@@ -86,7 +86,7 @@
     /// Follows the declared state and watches the object API directly while `is_root`
     /// returns true; never returns.
     pub async fn run(&self, is_root: impl Fn() -> bool) {
-        let mut holders = Vec::new();
+        let mut roots = Vec::new();
         let mut failures = 0;
         loop {
             if is_root() {
@@ -96,11 +96,11 @@
             // The table is read rarely, so that the loss of a hall causes no burst of
             // reads at the object API.
             let stale = failures % FAILURES_PER_READ == FAILURES_PER_READ - 1;
-            if holders.is_empty() || stale {
-                holders = self.holders().await.unwrap_or(holders);
+            if roots.is_empty() || stale {
+                roots = self.roots().await.unwrap_or(roots);
             }
-            let none = holders.is_empty();
-            let first = fastrand::choice(if none { &self.peers } else { &holders });
+            let none = roots.is_empty();
+            let first = fastrand::choice(if none { &self.peers } else { &roots });
             let began = Instant::now();
             if let Some(first) = first.cloned() {
                 if let Err(status) = self.follow_tree(first).await {
@@ -141,22 +141,22 @@
     }
 
     /// Returns the addresses of the processes that watch the object API.
-    async fn holders(&self) -> Option<Vec<String>> {
-        let object = self.api.get(TABLE).await.ok()??;
+    async fn roots(&self) -> Option<Vec<String>> {
+        let object = self.api.get(TABLE_OBJECT).await.ok()??;
         let table: KeyTable = serde_json::from_slice(&object.value).ok()?;
-        let holders = table.partitions.into_iter().map(|t| t.holder);
-        let mut holders: Vec<_> =
-            holders.filter(|addr| !addr.is_empty() && *addr != self.relay).collect();
-        holders.sort();
-        holders.dedup();
-        Some(holders)
+        let roots = table.partitions.into_iter().map(|t| t.holder);
+        let mut roots: Vec<_> =
+            roots.filter(|addr| !addr.is_empty() && *addr != self.relay_addr).collect();
+        roots.sort();
+        roots.dedup();
+        Some(roots)
     }
 
     /// Follows a process, or one to which it redirects, until the stream ends or fails.
     async fn follow_tree(&self, first: String) -> Result<(), Status> {
         let mut addr = first;
         for _ in 0..=MAX_REDIRECTS {
-            let mut down = self.open(&addr).await?;
+            let mut down = self.open_stream(&addr).await?;
             match self.receive(&mut down).await? {
                 Some(next) => addr = next,
                 None => return Ok(()),
@@ -165,14 +165,14 @@
         Err(Status::resource_exhausted("sent on too often"))
     }
 
-    async fn open(&self, addr: &str) -> Result<Streaming<Update>, Status> {
+    async fn open_stream(&self, addr: &str) -> Result<Streaming<Update>, Status> {
         let unavailable = |e: String| Status::unavailable(format!("{addr}: {e}"));
         let channel = self.pool.get(addr).await;
         let channel = channel.map_err(|e| unavailable(e.to_string()))?;
         let origin = channel.origin();
         let state = self.in_force.state();
         let chunks = state.parts().iter().map(|part| part.hash.clone()).collect();
-        let req = FollowRequest { relay: self.relay.clone(), chunks };
+        let req = FollowRequest { relay: self.relay_addr.clone(), chunks };
         let mut client = ConfigClient::with_origin(channel, origin);
         let late = || Err(Status::deadline_exceeded("no answer in time"));
         let reply =
@@ -232,7 +232,7 @@
     }
 
     /// Registers a follower and returns its id, or returns the addresses to redirect to.
-    fn admit(&self, relay: &str) -> Result<u64, Vec<String>> {
+    fn register(&self, relay: &str) -> Result<u64, Vec<String>> {
         let mut followers = self.followers.lock();
         let onward: Vec<_> = followers
             .values()
@@ -264,8 +264,8 @@
         req: Request<FollowRequest>,
     ) -> Result<Response<Self::FollowStream>, Status> {
         let req = req.into_inner();
-        let (tx, rx) = bounded(READY_MESSAGES);
-        match self.follower.admit(&req.relay) {
+        let (tx, rx) = bounded(MAX_QUEUED_MESSAGES);
+        match self.follower.register(&req.relay) {
             Ok(id) => {
                 let follower = self.follower.clone();
                 exec::spawn(serve_follower(follower, id, req.chunks, tx)).detach();
--- a/crates/larkspring/src/http/head.rs
+++ b/crates/larkspring/src/http/head.rs
@@ -13,7 +13,7 @@
 
 /// The framing of a request, from its complete head.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Head {
+pub struct RequestHead {
     /// Length of the head in bytes.
     pub len: usize,
     /// Length of the body in bytes.
@@ -39,9 +39,9 @@
         /// The head violates the protocol.
         Malformed(what: &'static str) { display("malformed request: {what}") }
         /// The request did not arrive completely in time.
-        Slow { display("the request did not come whole in time") }
+        Timeout { display("the request did not come whole in time") }
         /// The caller closed the connection before the end of the request.
-        Cut { display("the request was cut off") }
+        Truncated { display("the request was cut off") }
     }
 }
 
@@ -53,14 +53,14 @@
             Self::BodyTooLarge(_) => 413,
             Self::LengthRequired => 411,
             Self::Version => 505,
-            Self::Malformed(_) | Self::Cut => 400,
-            Self::Slow => 408,
+            Self::Malformed(_) | Self::Truncated => 400,
+            Self::Timeout => 408,
         }
     }
 }
 
 /// Parses and validates the head at the start of `buf`; `None` if more bytes are needed.
-pub fn check(buf: &[u8], max_body: usize) -> Result<Option<Head>, HeadError> {
+pub fn parse_head(buf: &[u8], max_body: usize) -> Result<Option<RequestHead>, HeadError> {
     let mut headers = [EMPTY_HEADER; MAX_HEADERS];
     let mut req = Request::new(&mut headers);
     let parsed = req.parse(buf).map_err(|e| match e {
@@ -90,7 +90,7 @@
     let body_len = body_len(headers, max_body)?;
     let keep_alive = !has(headers, "connection", "close");
     let expects_continue = has(headers, "expect", "100-continue");
-    Ok(Some(Head { len, body_len, keep_alive, expects_continue }))
+    Ok(Some(RequestHead { len, body_len, keep_alive, expects_continue }))
 }
 
 fn body_len(headers: &[Header<'_>], max_body: usize) -> Result<usize, HeadError> {
--- a/crates/larkspring/src/http/server.rs
+++ b/crates/larkspring/src/http/server.rs
@@ -23,7 +23,7 @@
 use smol::net::{TcpListener, TcpStream};
 use smol::Timer;
 
-use super::head::{check, Head, HeadError};
+use super::head::{parse_head, HeadError, RequestHead};
 use crate::exec;
 
 /// Limits of a server and its connections.
@@ -74,7 +74,7 @@
         let (handler, limits, open) = (handler.clone(), limits.clone(), open.clone());
         exec::spawn(async move {
             let _ = sock.set_nodelay(true);
-            let _ = set_socket_send_buffer_size(&sock, SEND_BUFFER);
+            let _ = set_socket_send_buffer_size(&sock, SEND_BUFFER_BYTES);
             let mut conn = Connection { sock, peer, limits, buf: Vec::new() };
             // An error of a connection affects only its caller.
             let _ = conn.run(handler).await;
@@ -86,7 +86,7 @@
 
 /// Size of the socket's send buffer in bytes, which bounds the memory for a stalled
 /// caller.
-const SEND_BUFFER: usize = 64 * 1024;
+const SEND_BUFFER_BYTES: usize = 64 * 1024;
 
 struct Connection {
     sock: TcpStream,
@@ -96,12 +96,12 @@
     buf: Vec<u8>,
 }
 
-const READ_SIZE: usize = 4096;
+const READ_BUFFER_BYTES: usize = 4096;
 /// Size of the buffer for copying an answer, in bytes.
-const COPY_SIZE: usize = 2048;
-const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
+const COPY_BUFFER_BYTES: usize = 2048;
+const CONTINUE_RESPONSE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 /// Maximum number of pipelined bytes buffered while a request is served.
-const MAX_PIPELINED: usize = 16 * 1024;
+const MAX_PIPELINED_BYTES: usize = 16 * 1024;
 
 impl Connection {
     async fn run<H: Handler>(&mut self, handler: Arc<H>) -> io::Result<()> {
@@ -153,13 +153,13 @@
         let stall = self.limits.stall_timeout;
         let mut sock = self.sock.clone();
         let copy = async {
-            let mut buf = vec![0; COPY_SIZE];
+            let mut buf = vec![0; COPY_BUFFER_BYTES];
             loop {
                 let n = encoder.read(&mut buf).await?;
                 if n == 0 {
                     return Ok(true);
                 }
-                sock.write_all(&buf[..n]).or(timed_out(stall)).await?;
+                sock.write_all(&buf[..n]).or(time_out_after(stall)).await?;
             }
         };
         let gone = async {
@@ -172,10 +172,10 @@
     /// Reads the next complete request; `None` if the caller closes or idles too long.
     async fn next_message(
         &mut self,
-    ) -> io::Result<Result<Option<(Head, Vec<u8>)>, HeadError>> {
+    ) -> io::Result<Result<Option<(RequestHead, Vec<u8>)>, HeadError>> {
         if self.buf.is_empty() {
             let idle = self.limits.idle_timeout;
-            match self.read_some().or(timed_out(idle)).await {
+            match self.read_chunk().or(time_out_after(idle)).await {
                 Ok(0) => return Ok(Ok(None)),
                 Ok(_) => {}
                 Err(e) if e.kind() == io::ErrorKind::TimedOut => return Ok(Ok(None)),
@@ -185,31 +185,31 @@
         let limit = self.limits.read_timeout;
         let slow = async {
             Timer::after(limit).await;
-            Ok(Err(HeadError::Slow))
+            Ok(Err(HeadError::Timeout))
         };
         self.read_message().or(slow).await
     }
 
     async fn read_message(
         &mut self,
-    ) -> io::Result<Result<Option<(Head, Vec<u8>)>, HeadError>> {
+    ) -> io::Result<Result<Option<(RequestHead, Vec<u8>)>, HeadError>> {
         let head = loop {
-            match check(&self.buf, self.limits.max_body) {
+            match parse_head(&self.buf, self.limits.max_body) {
                 Ok(Some(head)) => break head,
                 Ok(None) => {}
                 Err(e) => return Ok(Err(e)),
             }
-            if self.read_some().await? == 0 {
-                return Ok(Err(HeadError::Cut));
+            if self.read_chunk().await? == 0 {
+                return Ok(Err(HeadError::Truncated));
             }
         };
         let len = head.len + head.body_len;
         if head.expects_continue && self.buf.len() < len {
-            self.sock.write_all(CONTINUE).await?;
+            self.sock.write_all(CONTINUE_RESPONSE).await?;
         }
         while self.buf.len() < len {
-            if self.read_some().await? == 0 {
-                return Ok(Err(HeadError::Cut));
+            if self.read_chunk().await? == 0 {
+                return Ok(Err(HeadError::Truncated));
             }
         }
         let rest = self.buf.split_off(len);
@@ -218,11 +218,11 @@
         Ok(Ok(Some((head, message))))
     }
 
-    async fn read_some(&mut self) -> io::Result<usize> {
+    async fn read_chunk(&mut self) -> io::Result<usize> {
         let mut sock = self.sock.clone();
         poll_fn(|cx| {
             // On the stack, so that a waiting connection holds no buffer.
-            let mut chunk = [0; READ_SIZE];
+            let mut chunk = [0; READ_BUFFER_BYTES];
             let n = ready!(Pin::new(&mut sock).poll_read(cx, &mut chunk))?;
             self.buf.extend_from_slice(&chunk[..n]);
             Poll::Ready(Ok(n))
@@ -232,8 +232,8 @@
 
     /// Waits until the caller closes its side or the connection breaks.
     async fn watch_disconnect(&mut self) {
-        while self.buf.len() < MAX_PIPELINED {
-            match self.read_some().await {
+        while self.buf.len() < MAX_PIPELINED_BYTES {
+            match self.read_chunk().await {
                 Ok(0) | Err(_) => return,
                 Ok(_) => {}
             }
@@ -249,7 +249,7 @@
         let mut buf = Vec::new();
         encoder.read_to_end(&mut buf).await?;
         let write = async { self.sock.write_all(&buf).await };
-        write.or(timed_out(self.limits.stall_timeout)).await?;
+        write.or(time_out_after(self.limits.stall_timeout)).await?;
         self.linger().await
     }
 
@@ -258,18 +258,18 @@
     async fn linger(&mut self) -> io::Result<()> {
         let _ = self.sock.shutdown(std::net::Shutdown::Write);
         let drain = async {
-            while self.read_some().await? > 0 {
+            while self.read_chunk().await? > 0 {
                 self.buf.clear();
             }
             Ok(())
         };
-        drain.or(timed_out(LINGER_TIMEOUT)).await
+        drain.or(time_out_after(LINGER_TIMEOUT)).await
     }
 }
 
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 
-async fn timed_out<T>(limit: Duration) -> io::Result<T> {
+async fn time_out_after<T>(limit: Duration) -> io::Result<T> {
     Timer::after(limit).await;
     Err(io::ErrorKind::TimedOut.into())
 }
--- a/crates/larkspring/src/in_force.rs
+++ b/crates/larkspring/src/in_force.rs
@@ -16,7 +16,7 @@
 use crate::platform::PlatformError;
 
 /// Name of the object that holds the root.
-pub const ROOT: &str = "config/root";
+pub const ROOT_OBJECT: &str = "config/root";
 /// Maximum time that one watch waits at the object API.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
 const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
@@ -113,7 +113,7 @@
         api: &dyn ObjectApi,
         seen: ObjectVersion,
     ) -> Result<ObjectVersion, PlatformError> {
-        let Some(object) = api.watch(ROOT, seen, WATCH_TIMEOUT).await? else {
+        let Some(object) = api.watch(ROOT_OBJECT, seen, WATCH_TIMEOUT).await? else {
             return Ok(seen);
         };
         let root: Root = decode("read the root", &object.value)?;
--- a/crates/larkspring/src/operate/plan.rs
+++ b/crates/larkspring/src/operate/plan.rs
@@ -11,7 +11,7 @@
 use larkspring_proto::declared::{Adapter, Caller, Chunk, Root};
 use serde::{Deserialize, Serialize};
 
-use super::publish::{present, publish_root, write_chunks, Present, PublishError};
+use super::publish::{present, publish_root, write_chunks, PublishError, RootSnapshot};
 use crate::in_force::chunk_name;
 use crate::platform::objects::ObjectApi;
 use crate::platform::PlatformError;
@@ -115,7 +115,7 @@
 /// Reads the current root and its complete declared state.
 pub async fn read_present(
     api: &dyn ObjectApi,
-) -> Result<(Present, Chunk), PlatformError> {
+) -> Result<(RootSnapshot, Chunk), PlatformError> {
     let from = present(api).await?;
     let all = read_all(api, &from.root).await?;
     Ok((from, all))
--- a/crates/larkspring/src/operate/publish.rs
+++ b/crates/larkspring/src/operate/publish.rs
@@ -11,17 +11,17 @@
 use larkspring_proto::declared::{Chunk, Root};
 use quick_error::quick_error;
 
-use crate::in_force::{chunk_name, ROOT};
+use crate::in_force::{chunk_name, ROOT_OBJECT};
 use crate::platform::objects::{ObjectApi, ObjectVersion};
 use crate::platform::PlatformError;
 
 /// Number of chunks of a declaration. With 49,000 adapters each holds about 5 KB, the
 /// amount that one change sends to each process.
-pub const CHUNKS: usize = 1024;
+pub const CHUNK_COUNT: usize = 1024;
 /// Hex digits of a chunk's content hash, 128 bits of its SHA-256.
 const HASH_DIGITS: usize = 32;
 /// Number of latest change ids kept in the root.
-const KEPT_CHANGES: usize = 64;
+const MAX_KEPT_CHANGES: usize = 64;
 /// Attempts to read the root back after a write with a lost reply.
 const READ_BACK_ATTEMPTS: u32 = 5;
 
@@ -44,7 +44,7 @@
 
 /// The root and its version in the object API.
 #[derive(Debug, Clone, Default)]
-pub struct Present {
+pub struct RootSnapshot {
     /// Version of the root object.
     pub version: ObjectVersion,
     /// The root; empty if none exists yet.
@@ -52,18 +52,20 @@
 }
 
 /// Reads the current root.
-pub async fn present(api: &dyn ObjectApi) -> Result<Present, PlatformError> {
-    let Some(object) = api.get(ROOT).await? else { return Ok(Present::default()) };
+pub async fn present(api: &dyn ObjectApi) -> Result<RootSnapshot, PlatformError> {
+    let Some(object) = api.get(ROOT_OBJECT).await? else {
+        return Ok(RootSnapshot::default());
+    };
     let root = serde_json::from_slice(&object.value);
     let root = root.map_err(|e| PlatformError::Answer("read the root", e.to_string()))?;
-    Ok(Present { version: object.version, root })
+    Ok(RootSnapshot { version: object.version, root })
 }
 
 /// Publishes `all` as the declared state if the root is still `from`; returns the
 /// revision.
 pub async fn publish(
     api: &dyn ObjectApi,
-    from: &Present,
+    from: &RootSnapshot,
     all: &Chunk,
     change: &str,
 ) -> Result<u64, PublishError> {
@@ -98,13 +100,13 @@
 /// Publishes chunks that are already written, if the root is still `from`.
 pub async fn publish_root(
     api: &dyn ObjectApi,
-    from: &Present,
+    from: &RootSnapshot,
     chunks: Vec<String>,
     change: &str,
 ) -> Result<u64, PublishError> {
     let root = next_root(&from.root, chunks, change);
     let value = serde_json::to_vec(&root).unwrap_or_default();
-    match api.put(ROOT, from.version, value).await {
+    match api.put(ROOT_OBJECT, from.version, value).await {
         Ok(_) => Ok(root.revision),
         Err(e) => resolve_failed_write(api, change, e).await,
     }
@@ -112,18 +114,18 @@
 
 /// Splits a declaration into chunks by the hash of each name.
 pub fn split(all: &Chunk) -> Vec<Chunk> {
-    let mut chunks = vec![Chunk::default(); CHUNKS];
+    let mut chunks = vec![Chunk::default(); CHUNK_COUNT];
     for adapter in &all.adapters {
-        chunks[place(&adapter.name, CHUNKS)].adapters.push(adapter.clone());
+        chunks[place(&adapter.name, CHUNK_COUNT)].adapters.push(adapter.clone());
     }
     for caller in &all.callers {
-        chunks[place(&caller.name, CHUNKS)].callers.push(caller.clone());
+        chunks[place(&caller.name, CHUNK_COUNT)].callers.push(caller.clone());
     }
     for service in &all.services {
-        chunks[place(&service.name, CHUNKS)].services.push(service.clone());
+        chunks[place(&service.name, CHUNK_COUNT)].services.push(service.clone());
     }
     for endpoint in &all.endpoints {
-        chunks[place(&endpoint.name, CHUNKS)].endpoints.push(endpoint.clone());
+        chunks[place(&endpoint.name, CHUNK_COUNT)].endpoints.push(endpoint.clone());
     }
     chunks
 }
@@ -131,7 +133,7 @@
 fn next_root(from: &Root, chunks: Vec<String>, change: &str) -> Root {
     let mut changes = from.changes.clone();
     changes.push(change.into());
-    let old = changes.len().saturating_sub(KEPT_CHANGES);
+    let old = changes.len().saturating_sub(MAX_KEPT_CHANGES);
     changes.drain(..old);
     Root { revision: from.revision + 1, chunks, changes }
 }
--- a/crates/larkspring/src/rpc/credit.rs
+++ b/crates/larkspring/src/rpc/credit.rs
@@ -7,16 +7,16 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
 /// Bytes per unit.
-pub const UNIT: usize = 256;
+pub const BYTES_PER_UNIT: usize = 256;
 /// Units granted at the start of an answer.
 pub const INITIAL_UNITS: u32 = 64;
 /// Maximum size of one message in bytes, so that a single message never exceeds the
 /// credit.
-pub const MAX_CHUNK: usize = UNIT * INITIAL_UNITS as usize / 4;
+pub const MAX_CHUNK_BYTES: usize = BYTES_PER_UNIT * INITIAL_UNITS as usize / 4;
 
 /// Returns the cost in units of a message of `len` bytes.
 pub fn units(len: usize) -> u32 {
-    len.div_ceil(UNIT).max(1) as u32
+    len.div_ceil(BYTES_PER_UNIT).max(1) as u32
 }
 
 /// Units that a sender may still spend.
--- a/crates/larkspring/src/telemetry.rs
+++ b/crates/larkspring/src/telemetry.rs
@@ -16,7 +16,7 @@
 use crate::settings::TelemetryCfg;
 
 /// Prefix of every metric.
-const PREFIX: &str = "larkspring";
+const METRIC_PREFIX: &str = "larkspring";
 
 /// Output of the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -110,8 +110,8 @@
     /// Creates a client for the address in the settings, or one that drops all metrics.
     pub fn new(cfg: &TelemetryCfg) -> Self {
         let client = match udp_sink(&cfg.statsd) {
-            Some(sink) => StatsdClient::from_sink(PREFIX, sink),
-            None => StatsdClient::from_sink(PREFIX, NopMetricSink),
+            Some(sink) => StatsdClient::from_sink(METRIC_PREFIX, sink),
+            None => StatsdClient::from_sink(METRIC_PREFIX, NopMetricSink),
         };
         Self { client: Arc::new(client) }
     }
--- a/crates/larkspring/tests/head.rs
+++ b/crates/larkspring/tests/head.rs
@@ -1,6 +1,6 @@
 //! Validation of request heads: which are refused, and that no input causes a panic.
 
-use larkspring::http::head::{check, Head, HeadError, MAX_HEAD};
+use larkspring::http::head::{parse_head, HeadError, RequestHead, MAX_HEAD};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -48,7 +48,8 @@
         case("GET / HTTP/1.0\r\nhost: x\r\n\r\n", Err(HeadError::Version)),
     ];
     for case in cases {
-        let body = check(case.text.as_bytes(), MAX_BODY).map(|h| h.map(|h| h.body_len));
+        let body =
+            parse_head(case.text.as_bytes(), MAX_BODY).map(|h| h.map(|h| h.body_len));
         assert_eq!(body, case.head, "{}", case.text);
     }
 }
@@ -70,7 +71,7 @@
         let mut bytes = start.into_bytes();
         lines.iter().for_each(|line| bytes.extend_from_slice(line.as_bytes()));
         bytes.extend_from_slice(&rest);
-        if let Ok(Some(Head { len, body_len, .. })) = check(&bytes, MAX_BODY) {
+        if let Ok(Some(RequestHead { len, body_len, .. })) = parse_head(&bytes, MAX_BODY) {
             prop_assert!(len <= bytes.len() && len <= MAX_HEAD && body_len <= MAX_BODY);
         }
     }
