--- a/crates/larkspring/src/agent/endpoint.rs
+++ b/crates/larkspring/src/agent/endpoint.rs
@@ -228,7 +228,7 @@
     }
 
     /// Returns the load report for entries.
-    pub fn hint(&self) -> Hint {
+    pub fn load_report(&self) -> Hint {
         let leaving = self.is_draining();
         let slots = self.slots.lock();
         Hint {
--- a/crates/larkspring/src/agent/job.rs
+++ b/crates/larkspring/src/agent/job.rs
@@ -35,7 +35,7 @@
 const STREAM_END: &[u8] = b"data: [DONE]\n\n";
 const EVENT_STREAM: &str = "text/event-stream";
 /// Attempts to get the rest of an answer after the connection broke.
-const MAX_RESUMES: u32 = 2;
+const MAX_RESUME_ATTEMPTS: u32 = 2;
 const RESUME_DELAY: Duration = Duration::from_millis(50);
 /// Maximum time that a request waits for the declared state used by its entry: the time
 /// within which a change is to be in force everywhere.
@@ -102,7 +102,7 @@
 }
 
 /// An answer that is being relayed.
-struct Answer {
+struct RelayedAnswer {
     body: Body,
     /// Bytes relayed so far.
     sent: u64,
@@ -130,7 +130,7 @@
                 let outcome = refusal.outcome.name();
                 self.endpoint.metrics.count("requests", "outcome", outcome);
                 tracing::info!(%refusal, "refused");
-                let refusal = refusal_to_wire(refusal, Some(self.endpoint.hint()));
+                let refusal = refusal_to_wire(refusal, Some(self.endpoint.load_report()));
                 let _ = self.send_message(dispatch_down::Kind::Refusal(refusal)).await;
             }
         }
@@ -157,13 +157,13 @@
         // Boxed, so that the memory of this step is freed before the relay, the longest
         // step.
         let mut res = Box::pin(self.send(&mut slot, &target, deadline)).await?;
-        let mut answer = Answer::new(&res);
-        self.begin(&res, load_wait).await?;
+        let mut answer = RelayedAnswer::new(&res);
+        self.send_begin(&res, load_wait).await?;
         answer.body = res.take_body();
         self.relay(&mut slot, answer, deadline).await?;
         slot.mark_out_of_engine();
         drop(slot);
-        let end = End { hint: Some(self.endpoint.hint()) };
+        let end = End { hint: Some(self.endpoint.load_report()) };
         self.send_message(dispatch_down::Kind::End(end)).await
     }
 
@@ -225,12 +225,12 @@
             sent.map_err(|e| Abort::from(Refusal::unknown(Step::Begin, e.to_string())))
         };
         let res = self.with_deadline(deadline, deadline_refusal, exchange).await?;
-        self.check(slot, &res, target, run.as_deref())?;
+        self.check_head(slot, &res, target, run.as_deref())?;
         Ok(res)
     }
 
     /// Checks the head of an answer.
-    fn check(
+    fn check_head(
         &self,
         slot: &mut RequestSlot,
         res: &Response,
@@ -284,12 +284,12 @@
         Ok(req)
     }
 
-    async fn begin(&self, res: &Response, load_wait: Duration) -> Result<(), Abort> {
+    async fn send_begin(&self, res: &Response, load_wait: Duration) -> Result<(), Abort> {
         let content_type = res.header("content-type").map(|v| v.as_str().to_owned());
         let begin = Begin {
             status: (res.status() as u16).into(),
             content_type: content_type.unwrap_or_default(),
-            hint: Some(self.endpoint.hint()),
+            hint: Some(self.endpoint.load_report()),
             load_wait_us: load_wait.as_micros() as u64,
         };
         self.send_message(dispatch_down::Kind::Begin(begin)).await
@@ -299,7 +299,7 @@
     async fn relay(
         &self,
         slot: &mut RequestSlot,
-        mut answer: Answer,
+        mut answer: RelayedAnswer,
         deadline: Instant,
     ) -> Result<(), Abort> {
         let mut resumes = 0;
@@ -316,7 +316,7 @@
             };
             resumes += 1;
             let resumable = self.start.model.is_some() && answer.is_event_stream;
-            if !resumable || resumes > MAX_RESUMES {
+            if !resumable || resumes > MAX_RESUME_ATTEMPTS {
                 return Err(Refusal::failed(Step::Stream, broken).into());
             }
             tracing::info!(offset = answer.sent, "resuming an interrupted answer");
@@ -327,7 +327,7 @@
 
     /// Relays the body as it arrives; a broken connection gives a refusal marked
     /// `elsewhere`.
-    async fn relay_body(&self, answer: &mut Answer) -> Result<(), Abort> {
+    async fn relay_body(&self, answer: &mut RelayedAnswer) -> Result<(), Abort> {
         let mut buf = vec![0; MAX_CHUNK_BYTES];
         loop {
             let read = answer.body.read(&mut buf).await;
@@ -393,7 +393,7 @@
     }
 }
 
-impl Answer {
+impl RelayedAnswer {
     fn new(res: &Response) -> Self {
         let is_event_stream = res
             .header("content-type")
--- a/crates/larkspring/src/entry/answer.rs
+++ b/crates/larkspring/src/entry/answer.rs
@@ -15,7 +15,7 @@
 use smol::Timer;
 
 use super::at_most_once::Claim;
-use super::dispatch::{Call, StartedAnswer};
+use super::dispatch::{AgentCall, StartedAnswer};
 use super::error_response;
 use super::limits::Permit;
 use crate::exec;
@@ -52,7 +52,7 @@
 /// An interrupted answer ends in an error. The connection to the caller then closes
 /// without the last chunk, so that the caller cannot take the answer for a complete one.
 struct Relay {
-    call: Option<Call>,
+    call: Option<AgentCall>,
     /// Released when the answer ends.
     permit: Option<Permit>,
     /// Settled when the answer ends.
@@ -67,7 +67,7 @@
 
 impl Relay {
     fn new(
-        call: Call,
+        call: AgentCall,
         permit: Permit,
         claim: Option<Claim>,
         is_event_stream: bool,
--- a/crates/larkspring/src/entry/dispatch.rs
+++ b/crates/larkspring/src/entry/dispatch.rs
@@ -30,13 +30,13 @@
     /// The head of the answer.
     pub begin: Begin,
     /// The call that carries the body.
-    pub call: Call,
+    pub call: AgentCall,
     /// The request's deadline.
     pub deadline: Instant,
 }
 
 /// One call to an agent; dropping it cancels the call.
-pub struct Call {
+pub struct AgentCall {
     entry: Arc<EntryState>,
     endpoint: Arc<Endpoint>,
     up: Sender<DispatchUp>,
@@ -62,7 +62,7 @@
     // Outcome of the latest earlier attempt that an endpoint may have run.
     let mut earlier = None;
     let mut rng = fastrand::Rng::new();
-    let mut next = choose(entry, &req, &tried, &mut rng);
+    let mut next = choose_endpoint(entry, &req, &tried, &mut rng);
     loop {
         let endpoint = next.map_err(|refusal| refusal.after(earlier))?;
         tried.push(endpoint.name.clone());
@@ -75,7 +75,7 @@
         if !may_retry(&req, &last) || tried.len() >= MAX_ATTEMPTS || !in_time {
             return Err(last);
         }
-        next = choose(entry, &req, &tried, &mut rng);
+        next = choose_endpoint(entry, &req, &tried, &mut rng);
         if next.is_err() {
             return Err(last);
         }
@@ -101,7 +101,7 @@
     }
 }
 
-fn choose(
+fn choose_endpoint(
     entry: &EntryState,
     req: &Inbound,
     tried: &[EndpointId],
@@ -135,7 +135,7 @@
     req: &Inbound,
     endpoint: Arc<Endpoint>,
 ) -> Result<StartedAnswer, Refusal> {
-    let work = begin(entry, req, endpoint.clone());
+    let work = start_attempt(entry, req, endpoint.clone());
     let late = async {
         Timer::at(req.deadline + AGENT_GRACE).await;
         let text = "the deadline passed and the agent did not answer";
@@ -144,13 +144,13 @@
     work.or(late).await
 }
 
-async fn begin(
+async fn start_attempt(
     entry: &Arc<EntryState>,
     req: &Inbound,
     endpoint: Arc<Endpoint>,
 ) -> Result<StartedAnswer, Refusal> {
     let peer = endpoint.name.clone();
-    let mut call = open(entry, req, endpoint).await?;
+    let mut call = open_call(entry, req, endpoint).await?;
     match call.next().await {
         Some(Ok(dispatch_down::Kind::Begin(begin))) => {
             call.record_report(begin.hint.clone());
@@ -171,11 +171,11 @@
 }
 
 /// Opens a call to the endpoint's agent and sends the request.
-async fn open(
+async fn open_call(
     entry: &Arc<EntryState>,
     req: &Inbound,
     endpoint: Arc<Endpoint>,
-) -> Result<Call, Refusal> {
+) -> Result<AgentCall, Refusal> {
     let peer = endpoint.name.clone();
     let not_sent = |cause: String| {
         entry.router.unreachable(Instant::now(), &peer);
@@ -189,7 +189,7 @@
     let start = start_message(entry, req);
     let _ = up.try_send(DispatchUp { kind: Some(dispatch_up::Kind::Start(start)) });
     entry.router.sent(&endpoint.name);
-    let mut call = Call { entry: entry.clone(), endpoint, up, down: None };
+    let mut call = AgentCall { entry: entry.clone(), endpoint, up, down: None };
     let mut client = AgentClient::with_origin(channel, origin);
     match client.dispatch(messages).await {
         Ok(res) => call.down = Some(res.into_inner()),
@@ -239,7 +239,7 @@
     start
 }
 
-impl Call {
+impl AgentCall {
     /// Waits for the next message; `None` if the agent ended the call.
     pub async fn next(&mut self) -> Option<Result<dispatch_down::Kind, Status>> {
         std::future::poll_fn(|cx| self.poll_next(cx)).await
@@ -280,7 +280,7 @@
     }
 }
 
-impl Drop for Call {
+impl Drop for AgentCall {
     fn drop(&mut self) {
         self.entry.router.done(&self.endpoint.name);
     }
--- a/crates/larkspring/src/entry/keys/mod.rs
+++ b/crates/larkspring/src/entry/keys/mod.rs
@@ -25,7 +25,7 @@
 use uuid::Uuid;
 
 pub use self::rpc::Service;
-use self::table::View;
+use self::table::TableView;
 pub use self::table::TABLE_OBJECT;
 use crate::exec::within;
 use crate::platform::objects::HttpObjects;
@@ -39,7 +39,7 @@
     terms: Terms,
     /// Maximum number of partitions that this entry takes.
     max_partitions: usize,
-    view: Mutex<View>,
+    view: Mutex<TableView>,
     changed: Event,
     /// The claims of each partition, each under a separate lock.
     claims: Vec<Mutex<Claims<KeptAnswer>>>,
--- a/crates/larkspring/src/entry/keys/table.rs
+++ b/crates/larkspring/src/entry/keys/table.rs
@@ -16,7 +16,7 @@
 
 /// The latest version of the table known from reads and from confirmed writes.
 #[derive(Debug, Default)]
-pub struct View {
+pub struct TableView {
     version: ObjectVersion,
     pub(super) table: KeyTable,
     /// Runs that did not answer, or are to be checked.
@@ -233,7 +233,7 @@
 
     /// Returns the table with the partitions that this run renews or takes; `None` if
     /// there are none.
-    fn next_table(&self, view: &View) -> Option<KeyTable> {
+    fn next_table(&self, view: &TableView) -> Option<KeyTable> {
         if self.closing.load(Ordering::Acquire) {
             return None;
         }
@@ -274,7 +274,7 @@
     }
 
     /// Returns whether the run that holds a partition is known to have ended.
-    fn holder_state(&self, view: &View, t: &Tenure) -> Holder {
+    fn holder_state(&self, view: &TableView, t: &Tenure) -> Holder {
         // Only one run can listen at an address.
         let replaced = t.holder == self.own_tenure.holder && t.run != self.own_tenure.run;
         let ended = view.ended.contains(&(t.holder.clone(), t.run));
