--- a/crates/larkspring/src/agent/gate.rs
+++ b/crates/larkspring/src/agent/load_permits.rs
@@ -1,4 +1,4 @@
-//! Asking for a part of the weight store's budget before a load.
+//! Requests for permits of the weight store's load budget.
 
 use std::time::Duration;
 
@@ -9,35 +9,35 @@
 use parking_lot::Mutex;
 use smol::Timer;
 
-use crate::entry::keys::{LEADING_PARTITION, TABLE};
+use crate::entry::keys::{LEADING_PARTITION, TABLE_OBJECT};
 use crate::exec::within;
 use crate::platform::objects::{HttpObjects, ObjectApi};
 use crate::rpc::channel::{Channel, Pool};
 use crate::settings::PlatformCfg;
 
-/// The way to the entry that gives out the budget.
-pub struct Gate {
+/// Client of the leading entry, which grants load permits.
+pub struct LoadPermits {
     limits: Option<BudgetLimits>,
     api: HttpObjects,
     pool: Pool,
-    /// Address of the entry that granted last.
+    /// Address of the leading entry, as last known.
     leader: Mutex<Option<String>>,
 }
 
-/// A granted load.
+/// A permit for one load.
 pub struct Permit {
     load: String,
-    /// Who granted it; `None` if nobody could be asked.
+    /// Address of the entry that granted the permit; `None` if no entry was involved.
     leader: Option<String>,
 }
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longer than a call for a permit waits at the entry.
+/// Exceeds the 10 s that a call for a permit waits at the entry.
 const PERMIT_TIMEOUT: Duration = Duration::from_secs(12);
-const TRIES: u32 = 3;
+const PERMIT_ATTEMPTS: u32 = 3;
 
-impl Gate {
-    /// Creates a gate by the platform's settings.
+impl LoadPermits {
+    /// Creates a client from the platform's settings.
     pub fn new(cfg: &PlatformCfg) -> Self {
         Self {
             limits: cfg.loads,
@@ -47,39 +47,41 @@
         }
     }
 
-    /// Waits until a load may begin; `agents` share the budget if nobody grants.
-    pub async fn pass(
+    /// Waits until a load may begin. If no entry grants permits, the budget's rate is
+    /// divided among `agents` agents.
+    pub async fn acquire(
         &self,
         load: String,
         (priority, waiting): (u32, u32),
         agents: usize,
     ) -> Permit {
         let Some(limits) = self.limits else { return Permit { load, leader: None } };
-        for _ in 0..TRIES {
+        for _ in 0..PERMIT_ATTEMPTS {
             let Some(addr) = self.leader().await else { break };
             let req = PermitRequest { load: load.clone(), priority, waiting };
-            match self.ask(&addr, req).await {
+            match self.request(&addr, req).await {
                 Some(true) => return Permit { load, leader: Some(addr) },
                 Some(false) => {}
                 None => *self.leader.lock() = None,
             }
         }
-        // Nobody grants: each agent takes its share of the rate, spread at random.
+        // Without a leader each agent uses its share of the rate, with a random delay.
         let share = Duration::from_secs_f64(agents as f64 / limits.rate);
         Timer::after(share.mul_f64(fastrand::f64())).await;
         Permit { load, leader: None }
     }
 
-    /// Gives a permit back.
-    pub async fn done(&self, permit: Permit) {
+    /// Returns a permit.
+    pub async fn release(&self, permit: Permit) {
         let Some(addr) = permit.leader else { return };
         let Some(mut client) = self.client(&addr).await else { return };
-        // A permit that is not given back counts as ended after a time.
+        // A permit that is not returned expires.
         within(CONNECT_TIMEOUT, client.done(DoneRequest { load: permit.load })).await;
     }
 
-    /// Asks for a permit: granted, not yet, or `None` if another entry grants.
-    async fn ask(&self, addr: &str, req: PermitRequest) -> Option<bool> {
+    /// Requests a permit: `true` if granted, `false` if not yet, `None` if the call
+    /// failed or the entry does not lead.
+    async fn request(&self, addr: &str, req: PermitRequest) -> Option<bool> {
         let mut client = self.client(addr).await?;
         let reply = within(PERMIT_TIMEOUT, client.permit(req)).await?;
         let reply = reply.ok()?.into_inner();
@@ -92,12 +94,12 @@
         Some(LoadsClient::with_origin(channel, origin))
     }
 
-    /// Returns the address of the entry that grants, as it was last known.
+    /// Returns the address of the leading entry, as last known.
     async fn leader(&self) -> Option<String> {
         if let Some(addr) = self.leader.lock().clone() {
             return Some(addr);
         }
-        let object = self.api.get(TABLE).await.ok()??;
+        let object = self.api.get(TABLE_OBJECT).await.ok()??;
         let table: KeyTable = serde_json::from_slice(&object.value).ok()?;
         let first = table.partitions.get(LEADING_PARTITION)?;
         *self.leader.lock() = Some(first.holder.clone());
--- a/crates/larkspring/src/agent/mod.rs
+++ b/crates/larkspring/src/agent/mod.rs
@@ -1,13 +1,14 @@
 //! The agent: the process beside an endpoint through which all of its requests go.
 //!
-//! It has the last word for its endpoint. At the moment of use it checks the adapter,
-//! the run of the engine, the deadline and whether it still takes requests.
+//! The agent decides whether a request runs at its endpoint. Just before it sends a
+//! request it checks the adapter, the run of the engine, the deadline and whether the
+//! endpoint still takes requests.
 
 mod backend;
 mod endpoint;
 pub mod fence;
-mod gate;
 mod job;
+mod load_permits;
 mod poll;
 
 use std::net::SocketAddr;
@@ -26,7 +27,7 @@
 
 use self::endpoint::Endpoint;
 use self::fence::Fence;
-use self::gate::Gate;
+use self::load_permits::LoadPermits;
 use crate::exec;
 use crate::follow::Follower;
 use crate::in_force::InForce;
@@ -36,12 +37,12 @@
 use crate::telemetry::Metrics;
 
 quick_error! {
-    /// Why a process can't start.
+    /// Error that keeps a process from starting.
     #[derive(Debug)]
     pub enum StartError {
-        /// The settings lack the part for the process.
+        /// The settings have no section for the process.
         Settings(part: &'static str) { display("settings: `{part}` is missing") }
-        /// The address can't be listened on.
+        /// Listening on the address failed.
         Listen(addr: SocketAddr, cause: std::io::Error) {
             display("listen on {addr}: {cause}")
         }
@@ -51,7 +52,7 @@
 /// A running agent.
 #[derive(Debug)]
 pub struct Agent {
-    /// The address that it listens on.
+    /// The address on which entries are served.
     pub addr: SocketAddr,
     endpoint: Arc<Endpoint>,
     stopper: crate::rpc::serve::Stopper,
@@ -73,14 +74,14 @@
         let in_force = Arc::new(InForce::default());
         let metrics = Metrics::new(&settings.telemetry);
         let grace = cfg.stop_grace;
-        let gate = Gate::new(&settings.platform);
+        let load_permits = LoadPermits::new(&settings.platform);
         let endpoint = Arc::new(Endpoint::new(
             cfg,
             &settings.vm,
             in_force.clone(),
             metrics,
             fence,
-            gate,
+            load_permits,
         ));
         let follower = Follower::new(in_force, &settings.platform, String::new());
         let follow = exec::spawn(async move { follower.run(|| false).await });
@@ -91,23 +92,24 @@
         Ok(Self { addr, endpoint, stopper, grace, _tasks: vec![follow, polls] })
     }
 
-    /// Stops as planned: what waits is refused and what runs goes on to its end.
+    /// Shuts down gracefully: refuses waiting requests and lets running ones end within
+    /// the grace period.
     pub async fn stop(self) {
         self.endpoint.stop();
-        tracing::info!(endpoint = self.endpoint.name(), "agent stops");
-        self.endpoint.idle(self.grace).await;
+        tracing::info!(endpoint = self.endpoint.name(), "agent is stopping");
+        self.endpoint.wait_idle(self.grace).await;
         self.stopper.stop(self.grace).await;
     }
 }
 
-/// The serving side of the calls of entries.
+/// Serves calls of entries.
 struct Service {
     endpoint: Arc<Endpoint>,
 }
 
-/// Messages to an entry that are ready and not yet taken by the connection.
-const READY_MESSAGES: usize = 4;
-/// Time for a call to send its first message.
+/// Messages to an entry that may be queued before the connection takes them.
+const MAX_QUEUED_MESSAGES: usize = 4;
+/// Limit on the time until the first message of a call.
 const START_TIMEOUT: Duration = Duration::from_secs(5);
 
 #[tonic::async_trait]
@@ -119,31 +121,32 @@
         &self,
         req: Request<Streaming<DispatchUp>>,
     ) -> Result<Response<Self::DispatchStream>, Status> {
-        let (tx, rx) = channel::bounded(READY_MESSAGES);
+        let (tx, rx) = channel::bounded(MAX_QUEUED_MESSAGES);
         let job = job::run(self.endpoint.clone(), req.into_inner(), tx);
         exec::spawn(job).detach();
         Ok(Response::new(Box::pin(rx)))
     }
 }
 
-/// Returns the limits of the core from settings.
+/// Returns the scheduler's limits from the settings.
 fn limits(cfg: &AgentCfg) -> Limits {
     Limits {
         slots: cfg.slots,
         max_running: cfg.max_running,
         max_waiting: cfg.max_waiting,
-        max_loading: MAX_LOADING,
+        max_loading: MAX_CONCURRENT_LOADS,
         paced: false,
-        patience: PATIENCE,
-        settle: SETTLE,
+        patience: EVICTION_DELAY,
+        settle: REPORT_SETTLE_TIME,
         eviction: cfg.eviction,
         order: LoadOrder::Urgency,
     }
 }
 
-/// Loads under way at a time in one engine.
-const MAX_LOADING: usize = 2;
-/// Wait of a request after which a busy adapter makes room for its own.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// Time after the start in which the engine's reports may still miss requests.
-const SETTLE: Duration = Duration::from_secs(3);
+/// Maximum number of concurrent loads in one engine.
+const MAX_CONCURRENT_LOADS: usize = 2;
+/// Time that a request waits before an adapter in use is evicted for the request's
+/// adapter.
+const EVICTION_DELAY: Duration = Duration::from_secs(2);
+/// Time after the start in which the engine's reports may still lack requests.
+const REPORT_SETTLE_TIME: Duration = Duration::from_secs(3);
--- a/crates/larkspring/src/entry/dispatch.rs
+++ b/crates/larkspring/src/entry/dispatch.rs
@@ -1,4 +1,5 @@
-//! The attempts at a request: choosing an endpoint, sending, and trying another.
+//! Dispatch of a request: choosing an endpoint, sending, and retrying at another
+//! endpoint.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -18,47 +19,50 @@
 use smol::Timer;
 use tonic::{Status, Streaming};
 
-use super::inbound::{Inbound, To};
-use super::Inner;
+use super::inbound::{Destination, Inbound};
+use super::EntryState;
 use crate::rpc::channel::nothing_sent;
 use crate::rpc::credit::INITIAL_UNITS;
-use crate::wire::{hint_from_wire, refusal_from_wire};
+use crate::wire::{load_report_from_wire, refusal_from_wire};
 
-/// An answer that has begun.
-pub struct Begun {
-    /// Its head.
+/// An answer whose head has arrived.
+pub struct StartedAnswer {
+    /// The head of the answer.
     pub begin: Begin,
-    /// The call that carries the rest.
-    pub call: Call,
-    /// When the caller gives up.
+    /// The call that carries the body.
+    pub call: AgentCall,
+    /// The request's deadline.
     pub deadline: Instant,
 }
 
 /// One call to an agent; dropping it cancels the call.
-pub struct Call {
-    entry: Arc<Inner>,
+pub struct AgentCall {
+    entry: Arc<EntryState>,
     endpoint: Arc<Endpoint>,
     up: Sender<DispatchUp>,
     down: Option<Streaming<DispatchDown>>,
 }
 
-/// Attempts at a request that goes to one endpoint after another.
+/// Maximum number of attempts at a request, each at another endpoint.
 const MAX_ATTEMPTS: usize = 4;
-const FIRST_BACKOFF: Duration = Duration::from_millis(10);
-const LONGEST_BACKOFF: Duration = Duration::from_millis(250);
-/// Time by which an agent's own answer to a missed deadline may come later.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(10);
+const MAX_BACKOFF: Duration = Duration::from_millis(250);
+/// Time after the deadline in which the agent may still report that the deadline passed.
 const AGENT_GRACE: Duration = Duration::from_millis(500);
-/// When to come back where no endpoint could be chosen.
-const NO_ENDPOINT_RETRY: Duration = Duration::from_secs(1);
+/// Retry delay sent when no endpoint could be chosen or reached.
+const NO_ENDPOINT_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Dispatches a request until an answer begins or no attempt is left.
-pub async fn run(entry: &Arc<Inner>, req: Inbound) -> Result<Begun, Refusal> {
+/// Dispatches a request, with retries, until an answer begins or no attempt is left.
+pub async fn run(
+    entry: &Arc<EntryState>,
+    req: Inbound,
+) -> Result<StartedAnswer, Refusal> {
     entry.budget.lock().earn();
     let mut tried: Vec<EndpointId> = Vec::new();
-    // How an earlier attempt ended that an endpoint may have run.
+    // Outcome of the latest earlier attempt that an endpoint may have run.
     let mut earlier = None;
     let mut rng = fastrand::Rng::new();
-    let mut next = choose(entry, &req, &tried, &mut rng);
+    let mut next = choose_endpoint(entry, &req, &tried, &mut rng);
     loop {
         let endpoint = next.map_err(|refusal| refusal.after(earlier))?;
         tried.push(endpoint.name.clone());
@@ -66,12 +70,12 @@
             Ok(begun) => return Ok(begun),
             Err(refusal) => refusal.after(earlier),
         };
-        let wait = backoff(FIRST_BACKOFF, LONGEST_BACKOFF, tried.len() as u32, &mut rng);
+        let wait = backoff(INITIAL_BACKOFF, MAX_BACKOFF, tried.len() as u32, &mut rng);
         let in_time = Instant::now() + wait < req.deadline;
         if !may_retry(&req, &last) || tried.len() >= MAX_ATTEMPTS || !in_time {
             return Err(last);
         }
-        next = choose(entry, &req, &tried, &mut rng);
+        next = choose_endpoint(entry, &req, &tried, &mut rng);
         if next.is_err() {
             return Err(last);
         }
@@ -83,12 +87,12 @@
             earlier = Some(last.outcome);
         }
         entry.metrics.count("retries", "outcome", "sent");
-        tracing::info!(refusal = %last, "another endpoint is tried");
+        tracing::info!(refusal = %last, "retrying at another endpoint");
         Timer::after(wait).await;
     }
 }
 
-/// Whether another attempt keeps the promise for the request.
+/// Whether a retry cannot run the request more often than the caller allows.
 fn may_retry(req: &Inbound, last: &Refusal) -> bool {
     match last.outcome {
         Outcome::NotRun => last.elsewhere,
@@ -97,15 +101,15 @@
     }
 }
 
-fn choose(
-    entry: &Inner,
+fn choose_endpoint(
+    entry: &EntryState,
     req: &Inbound,
     tried: &[EndpointId],
     rng: &mut fastrand::Rng,
 ) -> Result<Arc<Endpoint>, Refusal> {
     let state = entry.in_force.state();
-    let (mut endpoints, target) = match &req.to {
-        To::Model { target, base, .. } => {
+    let (mut endpoints, target) = match &req.destination {
+        Destination::Model { target, base, .. } => {
             let target = target.hash();
             let near = match entry.cfg.routing {
                 Policy::Predicted | Policy::Hash => state.engines_near(base, target),
@@ -113,7 +117,7 @@
             };
             (near, Some(target))
         }
-        To::Service { service, .. } => {
+        Destination::Service { service, .. } => {
             (state.service_endpoints(service).iter().collect(), None)
         }
     };
@@ -121,17 +125,17 @@
     let chosen = entry.router.choose(Instant::now(), &endpoints, target, tried, rng);
     chosen.ok_or_else(|| {
         let refusal = Refusal::not_run(Step::Choose, "no endpoint takes the request now");
-        refusal.retry_after(NO_ENDPOINT_RETRY)
+        refusal.retry_after(NO_ENDPOINT_RETRY_DELAY)
     })
 }
 
-/// Makes one attempt at one endpoint, up to the beginning of its answer.
+/// Makes one attempt at one endpoint and waits for the head of the answer.
 async fn attempt(
-    entry: &Arc<Inner>,
+    entry: &Arc<EntryState>,
     req: &Inbound,
     endpoint: Arc<Endpoint>,
-) -> Result<Begun, Refusal> {
-    let work = begin(entry, req, endpoint.clone());
+) -> Result<StartedAnswer, Refusal> {
+    let work = start_attempt(entry, req, endpoint.clone());
     let late = async {
         Timer::at(req.deadline + AGENT_GRACE).await;
         let text = "the deadline passed and the agent did not answer";
@@ -140,20 +144,20 @@
     work.or(late).await
 }
 
-async fn begin(
-    entry: &Arc<Inner>,
+async fn start_attempt(
+    entry: &Arc<EntryState>,
     req: &Inbound,
     endpoint: Arc<Endpoint>,
-) -> Result<Begun, Refusal> {
+) -> Result<StartedAnswer, Refusal> {
     let peer = endpoint.name.clone();
-    let mut call = open(entry, req, endpoint).await?;
+    let mut call = open_call(entry, req, endpoint).await?;
     match call.next().await {
         Some(Ok(dispatch_down::Kind::Begin(begin))) => {
-            call.learn(begin.hint.clone());
-            Ok(Begun { begin, call, deadline: req.deadline })
+            call.record_report(begin.hint.clone());
+            Ok(StartedAnswer { begin, call, deadline: req.deadline })
         }
         Some(Ok(dispatch_down::Kind::Refusal(mut refusal))) => {
-            call.learn(refusal.hint.take());
+            call.record_report(refusal.hint.take());
             Err(refusal_from_wire(refusal, &peer))
         }
         Some(Ok(_)) | None => {
@@ -166,17 +170,17 @@
     }
 }
 
-/// Sends the request to the endpoint's agent.
-async fn open(
-    entry: &Arc<Inner>,
+/// Opens a call to the endpoint's agent and sends the request.
+async fn open_call(
+    entry: &Arc<EntryState>,
     req: &Inbound,
     endpoint: Arc<Endpoint>,
-) -> Result<Call, Refusal> {
+) -> Result<AgentCall, Refusal> {
     let peer = endpoint.name.clone();
     let not_sent = |cause: String| {
         entry.router.unreachable(Instant::now(), &peer);
         let refusal = Refusal::not_run(Step::Connect, cause).elsewhere();
-        refusal.peer(&*peer).retry_after(NO_ENDPOINT_RETRY)
+        refusal.peer(&*peer).retry_after(NO_ENDPOINT_RETRY_DELAY)
     };
     let channel = entry.pool.get(&endpoint.agent).await;
     let channel = channel.map_err(|e| not_sent(e.to_string()))?;
@@ -185,7 +189,7 @@
     let start = start_message(entry, req);
     let _ = up.try_send(DispatchUp { kind: Some(dispatch_up::Kind::Start(start)) });
     entry.router.sent(&endpoint.name);
-    let mut call = Call { entry: entry.clone(), endpoint, up, down: None };
+    let mut call = AgentCall { entry: entry.clone(), endpoint, up, down: None };
     let mut client = AgentClient::with_origin(channel, origin);
     match client.dispatch(messages).await {
         Ok(res) => call.down = Some(res.into_inner()),
@@ -200,7 +204,7 @@
     Ok(call)
 }
 
-fn start_message(entry: &Inner, req: &Inbound) -> Start {
+fn start_message(entry: &EntryState, req: &Inbound) -> Start {
     let left = req.deadline.saturating_duration_since(Instant::now());
     let mut start = Start {
         attempt: entry.attempt_id(),
@@ -216,15 +220,15 @@
         max_tokens: req.max_tokens,
         ..Start::default()
     };
-    match &req.to {
-        To::Model { target, path, .. } => {
+    match &req.destination {
+        Destination::Model { target, path, .. } => {
             start.model = Some(ModelTarget {
                 adapter: target.adapter.to_string(),
                 version: target.version.to_string(),
                 path: (*path).into(),
             });
         }
-        To::Service { service, method, path } => {
+        Destination::Service { service, method, path } => {
             start.service = Some(ServiceTarget {
                 service: service.clone(),
                 method: method.to_string(),
@@ -235,8 +239,8 @@
     start
 }
 
-impl Call {
-    /// Returns the next message; `None` if the agent ended the call.
+impl AgentCall {
+    /// Waits for the next message; `None` if the agent ended the call.
     pub async fn next(&mut self) -> Option<Result<dispatch_down::Kind, Status>> {
         std::future::poll_fn(|cx| self.poll_next(cx)).await
     }
@@ -255,28 +259,28 @@
         })
     }
 
-    /// Name of the endpoint that is asked.
+    /// Returns the name of the endpoint.
     pub fn peer(&self) -> &str {
         &self.endpoint.name
     }
 
-    /// Allows the agent to send `units` more.
+    /// Grants the agent `units` more units of credit.
     pub fn grant(&self, units: u32) {
         let credit = dispatch_up::Kind::Credit(Credit { units });
-        // A call that has ended needs no credit.
+        // The send fails only if the call has ended, and then no credit is needed.
         let _ = self.up.try_send(DispatchUp { kind: Some(credit) });
     }
 
-    /// Takes in what the agent said of its endpoint.
-    pub fn learn(&self, hint: Option<Hint>) {
+    /// Records the agent's load report of its endpoint.
+    pub fn record_report(&self, hint: Option<Hint>) {
         if let Some(hint) = hint {
             let name = &self.endpoint.name;
-            self.entry.router.learn(Instant::now(), name, hint_from_wire(hint));
+            self.entry.router.learn(Instant::now(), name, load_report_from_wire(hint));
         }
     }
 }
 
-impl Drop for Call {
+impl Drop for AgentCall {
     fn drop(&mut self) {
         self.entry.router.done(&self.endpoint.name);
     }
--- a/crates/larkspring/src/entry/inbound.rs
+++ b/crates/larkspring/src/entry/inbound.rs
@@ -1,4 +1,4 @@
-//! A caller's request, read and checked.
+//! Reading and checking a caller's request.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -11,16 +11,16 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 
-use super::Inner;
+use super::EntryState;
 use crate::telemetry::TraceParent;
 
-/// Header with the key of a request, the same for each resend.
+/// Header with the idempotency key of a request, the same for each retry.
 const KEY: &str = "idempotency-key";
-/// Header with the time that the caller waits at most, in milliseconds.
+/// Header with the longest time that the caller waits, in milliseconds.
 const DEADLINE: &str = "larkspring-deadline-ms";
-/// Header with the urgency, 0 to 9.
+/// Header with the priority, from 0 (most urgent) to 9.
 const PRIORITY: &str = "larkspring-priority";
-/// Header that says `no` where the request runs at most once.
+/// Header with the value `no` if the request may run at most once.
 const REPEATABLE: &str = "larkspring-repeatable";
 
 const LEAST_URGENT: u32 = 9;
@@ -29,38 +29,39 @@
 /// A request that may be dispatched.
 #[derive(Debug, Clone)]
 pub struct Inbound {
-    /// Who sent it.
+    /// The authenticated caller.
     pub caller: Arc<Caller>,
-    /// What it goes to.
-    pub to: To,
-    /// When its caller gives up.
+    /// The destination.
+    pub destination: Destination,
+    /// Time at which the caller stops waiting.
     pub deadline: Instant,
-    /// 0 is the most urgent.
+    /// The priority; 0 is the most urgent.
     pub priority: u32,
-    /// Key given by the caller.
+    /// The idempotency key, if the caller sent one.
     pub key: Option<String>,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
     /// Body for the endpoint.
     pub body: Bytes,
-    /// Type of the body.
+    /// Content type of the body.
     pub content_type: String,
-    /// Tokens asked for; 0 if the request does not say.
+    /// Maximum number of tokens to generate; 0 if the request sets none.
     pub max_tokens: u32,
-    /// Place in the caller's trace.
+    /// Trace context of this hop.
     pub trace: TraceParent,
 }
 
-/// What a request goes to.
+/// The destination of a request.
 #[derive(Debug, Clone)]
-pub enum To {
-    /// An adapter of a model engine, by the engine's HTTP path.
+pub enum Destination {
+    /// An adapter on a model engine; `path` is the engine's HTTP path.
     Model { target: Target, base: BaseId, path: &'static str },
-    /// A call of a plain service; `path` holds the query too.
+    /// A call of a plain service; `path` includes the query.
     Service { service: String, method: Method, path: String },
 }
 
-/// The part of a completion request that larkspring reads; the rest passes through.
+/// The fields of a completion request that the entry reads; `rest` is passed on
+/// unchanged.
 #[derive(Debug, Deserialize, Serialize)]
 struct Completion {
     model: String,
@@ -77,16 +78,17 @@
 impl Inbound {
     /// Reads and checks a request of a known caller.
     pub(super) async fn read(
-        entry: &Inner,
+        entry: &EntryState,
         mut req: Request,
         caller: Arc<Caller>,
         received: Instant,
     ) -> Result<Self, Refusal> {
         let body = req.body_bytes().await;
-        let body = body.map_err(|e| bad(&format!("the body can't be read: {e}")))?;
+        let body =
+            body.map_err(|e| bad_request(&format!("the body can't be read: {e}")))?;
         let parent = req.header("traceparent").map(|v| v.as_str());
         let mut inbound = Self {
-            to: To::Service {
+            destination: Destination::Service {
                 service: String::new(),
                 method: req.method(),
                 path: "".into(),
@@ -113,32 +115,37 @@
         Ok(inbound)
     }
 
-    /// Returns the name of what the request goes to, for logs.
+    /// Returns the name of the destination, for logs and the request fingerprint.
     pub fn target_name(&self) -> String {
-        match &self.to {
-            To::Model { target, .. } => target.to_string(),
-            To::Service { service, method, path } => format!("{service} {method} {path}"),
+        match &self.destination {
+            Destination::Model { target, .. } => target.to_string(),
+            Destination::Service { service, method, path } => {
+                format!("{service} {method} {path}")
+            }
         }
     }
 
-    fn model(&mut self, entry: &Inner, path: &'static str) -> Result<(), Refusal> {
-        let mut completion: Completion = serde_json::from_slice(&self.body)
-            .map_err(|e| bad(&format!("the body is no completion request: {e}")))?;
+    fn model(&mut self, entry: &EntryState, path: &'static str) -> Result<(), Refusal> {
+        let mut completion: Completion =
+            serde_json::from_slice(&self.body).map_err(|e| {
+                bad_request(&format!("the body is no completion request: {e}"))
+            })?;
         let state = entry.in_force.state();
         let choice = state.resolve(&completion.model, &self.caller)?;
         completion.model = choice.target.to_string();
         self.max_tokens = completion.max_tokens.unwrap_or_default();
         self.repeatable &= !choice.not_repeatable;
         let body = serde_json::to_vec(&completion);
-        self.body = body.map_err(|e| bad(&e.to_string()))?.into();
+        self.body = body.map_err(|e| bad_request(&e.to_string()))?.into();
         self.content_type = "application/json".into();
-        self.to = To::Model { target: choice.target, base: choice.base, path };
+        self.destination =
+            Destination::Model { target: choice.target, base: choice.base, path };
         Ok(())
     }
 
     fn service(
         &mut self,
-        entry: &Inner,
+        entry: &EntryState,
         method: Method,
         path: &str,
         query: Option<&str>,
@@ -152,34 +159,34 @@
         if let Some(query) = query {
             path = format!("{path}?{query}");
         }
-        self.to = To::Service { service: service.into(), method, path };
+        self.destination = Destination::Service { service: service.into(), method, path };
         Ok(())
     }
 }
 
-fn deadline(entry: &Inner, req: &Request) -> Result<Duration, Refusal> {
+fn deadline(entry: &EntryState, req: &Request) -> Result<Duration, Refusal> {
     let Some(value) = header(req, DEADLINE) else {
         return Ok(entry.cfg.default_deadline);
     };
     match value.parse() {
         Ok(ms) if ms > 0 => Ok(Duration::from_millis(ms).min(entry.cfg.max_deadline)),
-        _ => Err(bad(&format!("{DEADLINE} is no number of milliseconds"))),
+        _ => Err(bad_request(&format!("{DEADLINE} is no number of milliseconds"))),
     }
 }
 
-/// Reads the priority; no caller gets one more urgent than declared for it.
+/// Reads the priority, limited to the most urgent that is declared for the caller.
 fn priority(req: &Request, caller: &Caller) -> Result<u32, Refusal> {
     let Some(value) = header(req, PRIORITY) else { return Ok(caller.priority) };
     match value.parse::<u32>() {
         Ok(n) if n <= LEAST_URGENT => Ok(n.max(caller.priority)),
-        _ => Err(bad(&format!("{PRIORITY} is no number from 0 to 9"))),
+        _ => Err(bad_request(&format!("{PRIORITY} is no number from 0 to 9"))),
     }
 }
 
 fn key(req: &Request) -> Result<Option<String>, Refusal> {
     match header(req, KEY) {
         Some(key) if key.is_empty() || key.len() > MAX_KEY_LEN => {
-            Err(bad(&format!("{KEY} needs 1 to {MAX_KEY_LEN} characters")))
+            Err(bad_request(&format!("{KEY} needs 1 to {MAX_KEY_LEN} characters")))
         }
         key => Ok(key.map(str::to_owned)),
     }
@@ -189,7 +196,7 @@
     match header(req, REPEATABLE) {
         None | Some("yes") => Ok(true),
         Some("no") => Ok(false),
-        Some(_) => Err(bad(&format!("{REPEATABLE} is neither yes nor no"))),
+        Some(_) => Err(bad_request(&format!("{REPEATABLE} is neither yes nor no"))),
     }
 }
 
@@ -197,6 +204,6 @@
     req.header(name).map(|v| v.as_str())
 }
 
-fn bad(what: &str) -> Refusal {
+fn bad_request(what: &str) -> Refusal {
     Refusal::not_run(Step::Read, what)
 }
--- a/crates/larkspring/src/entry/mod.rs
+++ b/crates/larkspring/src/entry/mod.rs
@@ -1,17 +1,18 @@
 //! The entry: the process that callers reach.
 //!
-//! All entries are alike. Each checks a request, chooses an endpoint on what it has
-//! learned, and relays the answer; the endpoint's agent has the last word.
+//! All entries are alike. Each checks a request, chooses an endpoint by its replicated
+//! state and by the load reports of agents, and relays the answer. The endpoint's agent
+//! decides whether the request runs.
 
 mod answer;
+mod at_most_once;
 mod dispatch;
+mod error_response;
 mod inbound;
 pub(crate) mod keys;
 mod limits;
 mod loads;
-mod once;
 mod operator;
-mod refuse;
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -39,11 +40,11 @@
 use tower_service::Service;
 use tracing::Instrument;
 
+use self::at_most_once::{Claim, ClaimResult};
 use self::inbound::Inbound;
 use self::keys::Keys;
 use self::limits::{CallerLimits, Permit};
-use self::loads::Loads;
-use self::once::{Claim, Claimed};
+use self::loads::LoadGranter;
 use crate::agent::StartError;
 use crate::exec;
 use crate::follow::{self, Follower};
@@ -59,24 +60,24 @@
 /// A running entry.
 #[derive(Debug)]
 pub struct Entry {
-    /// The address that it listens on.
+    /// The address on which callers are served.
     pub addr: SocketAddr,
-    /// The address that it listens on for operators, if it does.
+    /// The address on which operators are served, if the settings name an address.
     pub operator_addr: Option<SocketAddr>,
-    inner: Arc<Inner>,
+    inner: Arc<EntryState>,
     _stopper: rpc::serve::Stopper,
     _tasks: Vec<Task<()>>,
 }
 
-/// The services that an entry offers to other processes, by their paths.
+/// Routes calls of other processes to the services of an entry, by path.
 #[derive(Clone)]
-struct Control {
+struct ControlService {
     config: ConfigServer<follow::Service>,
     keys: KeysServer<keys::Service>,
     loads: LoadsServer<loads::Service>,
 }
 
-impl Service<http::Request<Incoming>> for Control {
+impl Service<http::Request<Incoming>> for ControlService {
     type Response = http::Response<tonic::body::Body>;
     type Error = Infallible;
     type Future =
@@ -97,12 +98,12 @@
 
 const CONFIG_PATH: &str = "/larkspring.config.";
 const LOADS_PATH: &str = "/larkspring.loads.";
-/// Budget where the settings give no limit.
+/// Load budget used when the settings set no limit.
 const UNLIMITED: BudgetLimits = BudgetLimits { rate: 1e6, concurrency: 1_000_000 };
 
-/// State that the requests of an entry share.
+/// State shared by all requests of an entry.
 #[derive(Debug)]
-pub(crate) struct Inner {
+pub(crate) struct EntryState {
     cfg: EntryCfg,
     in_force: Arc<InForce>,
     router: Router,
@@ -111,19 +112,21 @@
     limits: CallerLimits,
     keys: Arc<Keys>,
     metrics: Metrics,
-    name: String,
-    next: AtomicU64,
+    process_id: String,
+    next_attempt: AtomicU64,
     stopping: AtomicBool,
 }
 
-/// Time for a connection to an agent to open.
+/// Limit on the time that opening a connection to an agent takes.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time that a caller's connection may wait between requests.
+/// Time after which an idle caller connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(75);
-/// Connections beyond the streams, for callers between requests.
+/// Connections allowed beyond the stream limit, for callers that are idle between
+/// requests.
 const SPARE_CONNECTIONS: usize = 1000;
-/// When to come back to an entry that stops: at once, through another one.
-const STOPPING_RETRY: Duration = Duration::from_millis(100);
+/// Retry delay sent by an entry that is stopping. Short, as another entry can take the
+/// request at once.
+const STOPPING_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 impl Entry {
     /// Starts an entry in the background.
@@ -139,13 +142,13 @@
         let control_addr = control.local_addr().unwrap_or(cfg.control);
         let keys = Arc::new(Keys::new(&cfg, settings, control_addr));
         let loads = settings.platform.loads.unwrap_or(UNLIMITED);
-        let loads = Arc::new(Loads::new(loads));
+        let loads = Arc::new(LoadGranter::new(loads));
         let granting = exec::spawn(loads.clone().run());
         let in_force = Arc::new(InForce::default());
         let relay = control_addr.to_string();
         let follower =
             Arc::new(Follower::new(in_force.clone(), &settings.platform, relay));
-        let service = Control {
+        let service = ControlService {
             config: ConfigServer::new(follow::Service { follower: follower.clone() }),
             keys: KeysServer::new(keys::Service { keys: keys.clone() }),
             loads: LoadsServer::new(loads::Service { loads, keys: keys.clone() }),
@@ -156,7 +159,7 @@
             let keys = keys.clone();
             exec::spawn(async move { follower.run(|| keys.held() > 0).await })
         };
-        let inner = Arc::new(Inner::new(cfg, settings, keys, in_force));
+        let inner = Arc::new(EntryState::new(cfg, settings, keys, in_force));
         let operators = match inner.cfg.operator {
             Some(addr) => Some(serve_operators(addr, &inner, settings).await?),
             None => None,
@@ -169,19 +172,20 @@
         Ok(Self { addr, operator_addr, inner, _stopper: stopper, _tasks: tasks })
     }
 
-    /// Stops as planned: new requests are refused and those in progress end.
+    /// Shuts down gracefully: refuses new requests, hands over the key partitions and
+    /// waits up to `stop_grace` for the requests in progress.
     pub async fn stop(self) {
-        tracing::info!(addr = %self.addr, "entry stops");
+        tracing::info!(addr = %self.addr, "entry is stopping");
         self.inner.stopping.store(true, Ordering::Release);
-        self.inner.keys.give_away().await;
-        exec::within(self.inner.cfg.stop_grace, self.inner.limits.idle()).await;
+        self.inner.keys.hand_over().await;
+        exec::within(self.inner.cfg.stop_grace, self.inner.limits.wait_idle()).await;
     }
 }
 
-/// Serves the operators' API in the background.
+/// Starts serving the operator API in the background.
 async fn serve_operators(
     addr: SocketAddr,
-    entry: &Arc<Inner>,
+    entry: &Arc<EntryState>,
     settings: &Settings,
 ) -> Result<(SocketAddr, Task<()>), StartError> {
     let listener =
@@ -197,7 +201,7 @@
     Ok((addr, task))
 }
 
-impl Inner {
+impl EntryState {
     fn new(
         cfg: EntryCfg,
         settings: &Settings,
@@ -212,8 +216,8 @@
             limits: CallerLimits::new(cfg.max_streams, cfg.max_streams_per_caller),
             keys,
             metrics: Metrics::new(&settings.telemetry),
-            name: format!("{:016x}", fastrand::u64(..)),
-            next: AtomicU64::new(1),
+            process_id: format!("{:016x}", fastrand::u64(..)),
+            next_attempt: AtomicU64::new(1),
             stopping: AtomicBool::new(false),
             cfg,
         }
@@ -229,9 +233,13 @@
         }
     }
 
-    /// Returns a number for an attempt that no other attempt has.
+    /// Returns a unique attempt id.
     fn attempt_id(&self) -> String {
-        format!("{}-{}", self.name, self.next.fetch_add(1, Ordering::Relaxed))
+        format!(
+            "{}-{}",
+            self.process_id,
+            self.next_attempt.fetch_add(1, Ordering::Relaxed)
+        )
     }
 
     async fn answer(self: &Arc<Self>, req: Request) -> Result<Response, Refusal> {
@@ -240,7 +248,7 @@
         }
         if self.stopping.load(Ordering::Acquire) {
             let refusal = Refusal::not_run(Step::Choose, "this entry is stopping");
-            return Err(refusal.retry_after(STOPPING_RETRY));
+            return Err(refusal.retry_after(STOPPING_RETRY_DELAY));
         }
         let caller = self.caller(&req)?;
         if req.method() == Method::Get && req.url().path() == "/v1/models" {
@@ -260,22 +268,25 @@
     }
 
     async fn serve(self: &Arc<Self>, inbound: Inbound) -> Result<Response, Refusal> {
-        let permit = self.limits.enter(&inbound.caller)?;
+        let permit = self.limits.acquire(&inbound.caller)?;
         let attempt = self.attempt_id();
         let trace = inbound.trace.to_string();
-        let mut res = match once::claim(&self.keys, &inbound, &attempt).await? {
-            Claimed::Free => {
+        let mut res = match at_most_once::claim(&self.keys, &inbound, &attempt).await? {
+            ClaimResult::Free => {
                 answer::respond(dispatch::run(self, inbound).await?, permit, None)
             }
-            Claimed::Granted(claim) => self.serve_once(inbound, permit, claim).await?,
-            Claimed::Replay(answer) => once::replay(answer),
+            ClaimResult::Granted(claim) => {
+                self.serve_once(inbound, permit, claim).await?
+            }
+            ClaimResult::Replay(answer) => at_most_once::replay(answer),
         };
         res.insert_header("larkspring-attempt", attempt);
         res.insert_header("traceparent", trace);
         Ok(res)
     }
 
-    /// Serves a request whose key was granted; it goes on if its caller hangs up.
+    /// Serves a request whose key was granted. The request continues if its caller hangs
+    /// up.
     async fn serve_once(
         self: &Arc<Self>,
         inbound: Inbound,
@@ -286,17 +297,17 @@
         let work = async move {
             match dispatch::run(&entry, inbound).await {
                 Ok(begun) => {
-                    claim.begin(begun.begin.status, &begun.begin.content_type);
+                    claim.record_head(begun.begin.status, &begun.begin.content_type);
                     Ok(answer::respond(begun, permit, Some(claim)))
                 }
                 Err(refusal) => {
-                    claim.refused(&refusal).await;
+                    claim.settle_refused(&refusal).await;
                     Err(refusal)
                 }
             }
         };
         let work = exec::spawn(work.in_current_span());
-        Detached(Some(work)).await
+        DetachOnDrop(Some(work)).await
     }
 
     fn caller(&self, req: &Request) -> Result<Arc<Caller>, Refusal> {
@@ -335,7 +346,7 @@
     }
 }
 
-impl Handler for Inner {
+impl Handler for EntryState {
     async fn handle(self: Arc<Self>, req: Request, _: SocketAddr) -> Response {
         let started = Instant::now();
         let parent = req.header("traceparent").map(|v| v.as_str().to_owned());
@@ -348,7 +359,7 @@
                 self.metrics.count("answers", "outcome", refusal.outcome.name());
                 tracing::info!(%refusal, "refused");
                 let trace = TraceParent::next(parent.as_deref());
-                let mut res = refuse::response(&refusal);
+                let mut res = error_response::response(&refusal);
                 res.insert_header("traceparent", trace.to_string());
                 res
             }
@@ -359,7 +370,7 @@
 
     fn refuse(&self, error: &HeadError) -> Response {
         self.metrics.count("answers", "outcome", "unreadable");
-        refuse::unreadable(error)
+        error_response::unreadable(error)
     }
 
     fn stopping(&self) -> bool {
@@ -367,10 +378,10 @@
     }
 }
 
-/// Waits for a task that goes on if nobody waits for it any more.
-struct Detached<T>(Option<Task<T>>);
+/// Waits for a task, and detaches the task instead of cancelling it when dropped.
+struct DetachOnDrop<T>(Option<Task<T>>);
 
-impl<T> Future for Detached<T> {
+impl<T> Future for DetachOnDrop<T> {
     type Output = T;
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<T> {
@@ -381,7 +392,7 @@
     }
 }
 
-impl<T> Drop for Detached<T> {
+impl<T> Drop for DetachOnDrop<T> {
     fn drop(&mut self) {
         if let Some(task) = self.0.take() {
             task.detach();
@@ -389,7 +400,7 @@
     }
 }
 
-/// Builds an answer with a JSON body.
+/// Builds a response with a JSON body.
 fn json_answer(status: u16, value: &serde_json::Value) -> Response {
     let mut res = Response::new(status);
     res.set_body(Body::from_string(value.to_string()));
--- a/crates/larkspring/tests/parse.rs
+++ b/crates/larkspring/tests/parse.rs
@@ -1,5 +1,5 @@
-//! Text and bytes from outside: whatever they are, reading them ends with a value or an
-//! error that names a line.
+//! Parsing of external text and bytes: any input gives a value or an error; errors in
+//! settings and declarations name a line.
 
 use larkspring::operate::declare;
 use larkspring::settings;
@@ -17,7 +17,7 @@
     }
 }
 
-/// Lines that look like settings or declarations more often than not.
+/// Generates lines that mostly resemble settings or declarations.
 fn yaml() -> impl Strategy<Value = String> {
     let key = prop::sample::select(vec![
         "hall",
@@ -50,7 +50,7 @@
     prop::collection::vec(line, 0..12).prop_map(|lines| lines.concat())
 }
 
-/// Whether each line of an error begins with the file and a line.
+/// Whether the first line of an error begins with the file and a line number.
 fn names_a_line(error: &str) -> bool {
     let first = error.lines().next().unwrap_or_default();
     first.strip_prefix("file:").is_some_and(|rest| rest.starts_with(char::is_numeric))
@@ -60,28 +60,28 @@
     #![proptest_config(config())]
 
     #[test]
-    fn settings_are_read_or_refused(text in yaml()) {
+    fn settings_are_parsed_or_refused(text in yaml()) {
         if let Err(e) = settings::parse("file", &text) {
             prop_assert!(names_a_line(&e.to_string()), "{e}");
         }
     }
 
     #[test]
-    fn declarations_are_read_or_refused(text in yaml()) {
+    fn declarations_are_parsed_or_refused(text in yaml()) {
         if let Err(e) = declare::parse(&[("file".into(), text)]) {
             prop_assert!(names_a_line(&e.to_string()), "{e}");
         }
     }
 
     #[test]
-    fn trace_header_is_taken_over_or_replaced(header in "\\PC{0,60}") {
+    fn trace_header_is_kept_or_replaced(header in "\\PC{0,60}") {
         let next = TraceParent::next(Some(&header));
         prop_assert_eq!((next.trace.len(), next.span.len()), (32, 16));
         prop_assert!(next.to_string().is_ascii());
     }
 
     #[test]
-    fn passed_on_chunk_is_read_or_refused(
+    fn relayed_chunk_is_parsed_or_refused(
         bytes in prop::collection::vec(any::<u8>(), 0..200),
     ) {
         if let Ok(part) = Part::from_message("hash", bytes.into()) {
