--- a/crates/larkspring/src/agent/endpoint.rs
+++ b/crates/larkspring/src/agent/endpoint.rs
@@ -1,4 +1,4 @@
-//! State of the agent's endpoint, and the actions that follow from its changes.
+//! State of the agent's endpoint, and execution of the actions that its changes require.
 
 use std::collections::HashMap;
 use std::fmt::{self, Debug, Formatter};
@@ -18,7 +18,7 @@
 
 use super::backend::{Backend, Report};
 use super::fence::Fence;
-use super::gate::Gate;
+use super::load_permits::LoadPermits;
 use crate::exec::{self, within};
 use crate::in_force::InForce;
 use crate::settings::AgentCfg;
@@ -29,56 +29,56 @@
     cfg: AgentCfg,
     slots: Mutex<Slots>,
     verdicts: Mutex<HashMap<AttemptId, Sender<Verdict>>>,
-    next: AtomicU64,
+    next_id: AtomicU64,
     changed: Event,
     stopping: AtomicBool,
-    /// VM that it runs on.
+    /// VM of the endpoint.
     vm: String,
-    /// Its engine or service.
+    /// Client of the engine or service.
     pub backend: Backend,
-    /// The declared state in force here.
+    /// The declared state in force in this process.
     pub in_force: Arc<InForce>,
-    /// Where metrics go.
+    /// Metrics of this process.
     pub metrics: Metrics,
-    /// Its epoch.
+    /// The endpoint's epoch.
     pub fence: Fence,
-    gate: Gate,
+    load_permits: LoadPermits,
 }
 
-/// Whether a request that waited may run.
+/// Whether a waiting request may run.
 type Verdict = Result<(), Refusal>;
 
-/// A request's place in the queue and later in the engine.
-pub struct Place {
+/// A request's place in the queue and then in the engine, released when dropped.
+pub struct RequestSlot {
     endpoint: Arc<Endpoint>,
-    /// Its number.
+    /// The id of the request at this agent.
     pub id: AttemptId,
     verdict: Receiver<Verdict>,
-    /// Whether its adapter was resident when it came.
+    /// Whether the request's adapter was resident when the request arrived.
     pub resident: bool,
-    /// Whether the engine may still hold something of the request.
+    /// Whether the engine may hold state of the request.
     in_engine: bool,
 }
 
-/// Pause after an order that was not given.
-const ORDER_PAUSE: Duration = Duration::from_secs(1);
-/// How often an engine is asked to end a request until it confirms.
+/// Pause after an order that could not be sent.
+const SKIPPED_ORDER_PAUSE: Duration = Duration::from_secs(1);
+/// Interval between cancel calls for a request until the engine confirms.
 const CANCEL_INTERVAL: Duration = Duration::from_millis(200);
 
 impl Endpoint {
-    /// Creates the state of an endpoint of which nothing is known yet.
+    /// Creates the state of an endpoint before the first report.
     pub fn new(
         cfg: AgentCfg,
         vm: &str,
         in_force: Arc<InForce>,
         metrics: Metrics,
         fence: Fence,
-        gate: Gate,
+        load_permits: LoadPermits,
     ) -> Self {
         Self {
             slots: Mutex::new(Slots::new(super::limits(&cfg))),
             verdicts: Mutex::default(),
-            next: AtomicU64::new(1),
+            next_id: AtomicU64::new(1),
             changed: Event::new(),
             stopping: AtomicBool::new(false),
             vm: vm.into(),
@@ -86,22 +86,22 @@
             in_force,
             metrics,
             fence,
-            gate,
+            load_permits,
             cfg,
         }
     }
 
-    /// Its name.
+    /// Returns the name of the endpoint.
     pub fn name(&self) -> &str {
         &self.cfg.endpoint
     }
 
-    /// Its settings.
+    /// Returns the agent's settings.
     pub fn cfg(&self) -> &AgentCfg {
         &self.cfg
     }
 
-    /// The plain service that it serves, if it is one.
+    /// Returns the name of the plain service; `None` if the endpoint is an engine.
     pub fn service(&self) -> Option<Arc<str>> {
         let state = self.in_force.state();
         match &state.endpoint(self.name())?.serves {
@@ -110,34 +110,40 @@
         }
     }
 
-    /// Whether this agent may give orders now: an engine that checks epochs decides
-    /// itself, for any other the epoch is read again.
-    async fn may_order(&self) -> bool {
+    /// Whether this agent may send orders now. An engine that checks epochs rejects stale
+    /// orders itself; for any other endpoint the epoch is read again.
+    async fn may_send_orders(&self) -> bool {
         let state = self.in_force.state();
         let checks = state.endpoint(self.name()).is_some_and(|e| e.checks_fences);
         checks || self.fence.is_held().await
     }
 
-    /// Returns the number by which the engine knows a request of this agent.
+    /// Returns the id that the engine uses for a request of this agent.
     pub fn request_id(&self, id: AttemptId) -> String {
         format!("{}-{}-{id}", self.name(), self.fence.epoch())
     }
 
-    /// Asks for a place; the request waits until [`Place::granted`].
-    pub fn enter(self: &Arc<Self>, req: Waiting) -> Result<Place, Refusal> {
-        let id = self.next.fetch_add(1, Ordering::Relaxed);
+    /// Queues a request, which waits until [`RequestSlot::wait_granted`].
+    pub fn enqueue(self: &Arc<Self>, req: Waiting) -> Result<RequestSlot, Refusal> {
+        let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         let (tx, verdict) = bounded(1);
         self.verdicts.lock().insert(id, tx);
         let admitted = self.slots.lock().admit(Instant::now(), id, req);
         let resident = admitted.inspect_err(|_| {
             self.verdicts.lock().remove(&id);
         })?;
-        self.drive();
-        Ok(Place { endpoint: self.clone(), id, verdict, resident, in_engine: false })
+        self.run_scheduler();
+        Ok(RequestSlot {
+            endpoint: self.clone(),
+            id,
+            verdict,
+            resident,
+            in_engine: false,
+        })
     }
 
-    /// Carries out what follows from the present state.
-    pub fn drive(self: &Arc<Self>) {
+    /// Executes the actions that the scheduler returns for the current state.
+    pub fn run_scheduler(self: &Arc<Self>) {
         let actions = self.slots.lock().schedule(Instant::now());
         for action in actions {
             match action {
@@ -145,19 +151,19 @@
                 Action::Unload(target) => {
                     exec::spawn(self.clone().unload(target)).detach()
                 }
-                Action::Start(id) => self.decide(id, Ok(())),
-                Action::Refuse(id, refusal) => self.decide(id, Err(refusal)),
+                Action::Start(id) => self.send_verdict(id, Ok(())),
+                Action::Refuse(id, refusal) => self.send_verdict(id, Err(refusal)),
             }
         }
         self.changed.notify(usize::MAX);
     }
 
-    /// Takes in a report of the engine.
-    pub fn reported(self: &Arc<Self>, report: &Report) {
-        let own = format!("{}-{}-", self.name(), self.fence.epoch());
+    /// Applies a report of the engine.
+    pub fn apply_report(self: &Arc<Self>, report: &Report) {
+        let own_prefix = format!("{}-{}-", self.name(), self.fence.epoch());
         let foreign = |name: &str| {
             let of_adapter = report.running.iter().filter(|r| r.adapter == name);
-            of_adapter.filter(|r| !r.id.starts_with(&own)).count()
+            of_adapter.filter(|r| !r.id.starts_with(&own_prefix)).count()
         };
         let held = report.resident.iter().filter_map(|name| {
             let target = parse_target(name)?;
@@ -166,40 +172,40 @@
         let held: Vec<_> = held.collect();
         let run = Incarnation::from(report.incarnation.as_str());
         self.slots.lock().engine_is(Instant::now(), &run, &held);
-        self.drive();
+        self.run_scheduler();
     }
 
-    /// Takes in that the engine could not be reached.
-    pub fn unreachable(self: &Arc<Self>) {
+    /// Records that the engine could not be reached.
+    pub fn mark_unreachable(self: &Arc<Self>) {
         self.slots.lock().engine_lost();
-        self.drive();
+        self.run_scheduler();
     }
 
-    /// Takes in that the engine does not hold an adapter.
-    pub fn lost(self: &Arc<Self>, target: &Target) {
+    /// Records that an adapter is not resident in the engine.
+    pub fn mark_not_resident(self: &Arc<Self>, target: &Target) {
         self.slots.lock().lost(target);
-        self.drive();
+        self.run_scheduler();
     }
 
-    /// The run of the engine, once known.
+    /// Returns the run of the engine; `None` if unknown.
     pub fn incarnation(&self) -> Option<Incarnation> {
         self.slots.lock().incarnation().cloned()
     }
 
-    /// Takes no more requests, as the agent stops.
+    /// Refuses new requests from now on, as the agent is stopping.
     pub fn stop(self: &Arc<Self>) {
         self.stopping.store(true, Ordering::Release);
-        self.follow_leaving();
+        self.update_draining();
     }
 
-    /// Takes requests or not, by what is declared and what the VM list shows.
-    pub fn follow_leaving(self: &Arc<Self>) {
-        self.slots.lock().drain(self.is_leaving());
-        self.drive();
+    /// Starts or stops draining by the agent's state, the declared state and the VM list.
+    pub fn update_draining(self: &Arc<Self>) {
+        self.slots.lock().drain(self.is_draining());
+        self.run_scheduler();
     }
 
-    /// Whether the endpoint is leaving, by its agent's stop, its declaration or its VM.
-    pub fn is_leaving(&self) -> bool {
+    /// Whether the endpoint is draining, by its agent's stop, its declaration or its VM.
+    pub fn is_draining(&self) -> bool {
         let state = self.in_force.state();
         let declared = state.endpoint(self.name());
         self.stopping.load(Ordering::Acquire)
@@ -207,8 +213,8 @@
             || self.in_force.is_vm_leaving(&self.vm)
     }
 
-    /// Waits, up to `limit`, until no request waits or runs.
-    pub async fn idle(&self, limit: Duration) {
+    /// Waits, up to `limit`, until no request is waiting or running.
+    pub async fn wait_idle(&self, limit: Duration) {
         let idle = async {
             loop {
                 let listener = self.changed.listen();
@@ -221,9 +227,9 @@
         within(limit, idle).await;
     }
 
-    /// Returns what an entry may want to know.
-    pub fn hint(&self) -> Hint {
-        let leaving = self.is_leaving();
+    /// Returns the load report for entries.
+    pub fn load_report(&self) -> Hint {
+        let leaving = self.is_draining();
         let slots = self.slots.lock();
         Hint {
             running: slots.running() as u32,
@@ -239,11 +245,11 @@
         let state = self.in_force.state();
         let demand = self.slots.lock().demand(&target).unwrap_or_default();
         let load = format!("{}/{target}", self.name());
-        let permit = self.gate.pass(load, demand, state.engine_count()).await;
+        let permit = self.load_permits.acquire(load, demand, state.engine_count()).await;
         if self.slots.lock().demand(&target).is_none() {
             self.slots.lock().not_loaded(&target);
-            self.gate.done(permit).await;
-            return self.drive();
+            self.load_permits.release(permit).await;
+            return self.run_scheduler();
         }
         let started = Instant::now();
         let ok = match state.weights(&target) {
@@ -254,14 +260,14 @@
         self.metrics.count("loads", "outcome", outcome);
         self.metrics.time("load_time", started.elapsed());
         self.slots.lock().loaded(Instant::now(), &target, ok);
-        self.drive();
-        self.gate.done(permit).await;
+        self.run_scheduler();
+        self.load_permits.release(permit).await;
     }
 
-    /// Loads an adapter and checks that the engine loaded just that one.
+    /// Loads an adapter and checks that the same run of the engine loaded that adapter.
     async fn load_checked(&self, target: &Target, weights: &str) -> bool {
-        if !self.may_order().await {
-            tracing::warn!(adapter = %target, "no load, as another agent may be in charge");
+        if !self.may_send_orders().await {
+            tracing::warn!(adapter = %target, "not loaded: another agent may hold the epoch");
             return false;
         }
         let limit = self.cfg.load_timeout;
@@ -277,46 +283,51 @@
         let same_run = run.as_deref() == Some(&*done.incarnation);
         let exact = done.adapter == target.to_string();
         if !exact {
-            tracing::error!(adapter = %target, got = done.adapter, "another was loaded");
+            tracing::error!(adapter = %target, got = done.adapter, "wrong adapter loaded");
         }
         exact && same_run
     }
 
     async fn unload(self: Arc<Self>, target: Target) {
-        if !self.may_order().await {
-            tracing::warn!(adapter = %target, "no unload, as another agent may be in charge");
+        if !self.may_send_orders().await {
+            tracing::warn!(adapter = %target, "not unloaded: another agent may hold the epoch");
             self.slots.lock().unloaded(Instant::now(), &target, false);
-            // Without an order the next try must wait, or it would come at once.
-            Timer::after(ORDER_PAUSE).await;
-            return self.drive();
+            // No call was made, so without a pause the next attempt would follow at once.
+            Timer::after(SKIPPED_ORDER_PAUSE).await;
+            return self.run_scheduler();
         }
         let done = self.backend.unload(&target, self.fence.epoch()).await;
         if let Err(e) = &done {
             tracing::warn!(adapter = %target, error = %e, "unload failed");
         }
         self.slots.lock().unloaded(Instant::now(), &target, done.is_ok());
-        self.drive();
+        self.run_scheduler();
     }
 
-    fn decide(&self, id: AttemptId, verdict: Verdict) {
+    fn send_verdict(&self, id: AttemptId, verdict: Verdict) {
         if let Some(tx) = self.verdicts.lock().remove(&id) {
             let _ = tx.try_send(verdict);
         }
     }
 
-    /// Forgets a request of which the engine holds nothing.
-    fn leave(self: &Arc<Self>, id: AttemptId) {
+    /// Removes a request of which the engine holds no state.
+    fn remove_request(self: &Arc<Self>, id: AttemptId) {
         self.verdicts.lock().remove(&id);
         let mut slots = self.slots.lock();
         if !slots.abandon(id) {
             slots.ended(Instant::now(), id);
         }
         drop(slots);
-        self.drive();
+        self.run_scheduler();
     }
 
-    /// Ends a request at the engine and keeps its adapter pinned until that is sure.
-    async fn end_surely(self: Arc<Self>, id: AttemptId, run: Option<Incarnation>) {
+    /// Cancels a request at the engine and keeps its adapter pinned until the engine
+    /// confirms or restarts.
+    async fn cancel_until_confirmed(
+        self: Arc<Self>,
+        id: AttemptId,
+        run: Option<Incarnation>,
+    ) {
         let name = self.request_id(id);
         while self.incarnation() == run {
             if self.backend.cancel(&name).await.is_ok() {
@@ -324,39 +335,39 @@
             }
             Timer::after(CANCEL_INTERVAL).await;
         }
-        self.leave(id);
+        self.remove_request(id);
     }
 }
 
-impl Place {
-    /// Waits until the request may run, or is refused.
-    pub async fn granted(&self) -> Verdict {
+impl RequestSlot {
+    /// Waits until the request may run or is refused.
+    pub async fn wait_granted(&self) -> Verdict {
         match self.verdict.recv().await {
             Ok(verdict) => verdict,
             Err(_) => Ok(()),
         }
     }
 
-    /// Marks that from now on the engine may hold something of the request.
-    pub fn entered_engine(&mut self) {
+    /// Marks that the engine may hold state of the request.
+    pub fn mark_in_engine(&mut self) {
         self.in_engine = true;
     }
 
-    /// Marks that the engine holds nothing more of the request.
-    pub fn left_engine(&mut self) {
+    /// Marks that the engine holds no state of the request.
+    pub fn mark_out_of_engine(&mut self) {
         self.in_engine = false;
     }
 }
 
-impl Drop for Place {
+impl Drop for RequestSlot {
     fn drop(&mut self) {
         let endpoint = self.endpoint.clone();
         match self.in_engine && endpoint.service().is_none() {
             true => {
                 let run = endpoint.incarnation();
-                exec::spawn(endpoint.end_surely(self.id, run)).detach();
+                exec::spawn(endpoint.cancel_until_confirmed(self.id, run)).detach();
             }
-            false => endpoint.leave(self.id),
+            false => endpoint.remove_request(self.id),
         }
     }
 }
@@ -367,7 +378,7 @@
     }
 }
 
-/// Reads `adapter@version`.
+/// Parses `adapter@version`.
 fn parse_target(name: &str) -> Option<Target> {
     let (adapter, version) = name.split_once(larkspring_core::ids::VERSION_MARK)?;
     Some(Target::new(adapter, version))
--- a/crates/larkspring/src/entry/answer.rs
+++ b/crates/larkspring/src/entry/answer.rs
@@ -1,4 +1,4 @@
-//! The answer to a caller, relayed as it comes under the caller's own pace.
+//! Relay of an answer to the caller, with flow control by the caller's reads.
 
 use std::io;
 use std::pin::Pin;
@@ -14,33 +14,33 @@
 use parking_lot::Mutex;
 use smol::Timer;
 
-use super::dispatch::{Begun, Call};
+use super::at_most_once::Claim;
+use super::dispatch::{AgentCall, StartedAnswer};
+use super::error_response;
 use super::limits::Permit;
-use super::once::Claim;
-use super::refuse;
 use crate::exec;
 use crate::rpc::credit::units;
 use crate::wire::refusal_from_wire;
 
-/// Header with the microseconds that the request waited for its adapter to load.
-const LOAD_WAIT: &str = "larkspring-load-wait-us";
+/// Header with the time in microseconds that the request waited for its adapter to load.
+const LOAD_WAIT_HEADER: &str = "larkspring-load-wait-us";
 const EVENT_STREAM: &str = "text/event-stream";
-/// Time by which the agent's own answer to a missed deadline may come later.
+/// Time after the deadline in which the agent may still report that the deadline passed.
 const AGENT_GRACE: Duration = Duration::from_secs(1);
-/// Credit is sent back in portions of at least this many units.
-const CREDIT_PORTION: u32 = 16;
+/// Minimum number of units in one credit message.
+const MIN_CREDIT_GRANT: u32 = 16;
 
 /// Builds the response that relays an answer.
-pub fn respond(begun: Begun, permit: Permit, claim: Option<Claim>) -> Response {
+pub fn respond(begun: StartedAnswer, permit: Permit, claim: Option<Claim>) -> Response {
     let mut res = Response::new(begun.begin.status as u16);
     let content_type = begun.begin.content_type.clone();
-    let events = content_type.starts_with(EVENT_STREAM);
+    let is_event_stream = content_type.starts_with(EVENT_STREAM);
     let deadline = begun.deadline;
-    let relay = Relay::new(begun.call, permit, claim, events, deadline);
-    res.set_body(Body::from_reader(Exclusive(Mutex::new(relay)), None));
+    let relay = Relay::new(begun.call, permit, claim, is_event_stream, deadline);
+    res.set_body(Body::from_reader(SyncRelay(Mutex::new(relay)), None));
     let wait = begun.begin.load_wait_us;
-    res.insert_header(LOAD_WAIT, wait.to_string());
-    // An endpoint may send what is no valid value.
+    res.insert_header(LOAD_WAIT_HEADER, wait.to_string());
+    // An endpoint may send a content type that is not a valid header value.
     if let Ok(value) = content_type.parse::<HeaderValue>() {
         res.insert_header("content-type", value);
     }
@@ -49,45 +49,45 @@
 
 /// Reads an answer from an agent.
 ///
-/// A broken answer ends in an error, upon which the connection to the caller closes
-/// without its last chunk, so that it can't be taken for a whole one.
+/// An interrupted answer ends in an error. The connection to the caller then closes
+/// without the last chunk, so that the caller cannot take the answer for a complete one.
 struct Relay {
-    call: Option<Call>,
-    /// Released with the end of the answer.
+    call: Option<AgentCall>,
+    /// Released when the answer ends.
     permit: Option<Permit>,
-    /// Settled with the end of the answer.
+    /// Settled when the answer ends.
     claim: Option<Claim>,
-    events: bool,
+    is_event_stream: bool,
     chunk: Bytes,
-    /// Units that were read and not yet granted again.
-    owed: u32,
-    broken: Option<String>,
+    /// Units that were received and not yet granted again.
+    pending_credit: u32,
+    failure: Option<String>,
     timer: Timer,
 }
 
 impl Relay {
     fn new(
-        call: Call,
+        call: AgentCall,
         permit: Permit,
         claim: Option<Claim>,
-        events: bool,
+        is_event_stream: bool,
         deadline: Instant,
     ) -> Self {
         Self {
             call: Some(call),
             permit: Some(permit),
             claim,
-            events,
+            is_event_stream,
             chunk: Bytes::new(),
-            owed: 0,
-            broken: None,
+            pending_credit: 0,
+            failure: None,
             timer: Timer::at(deadline + AGENT_GRACE),
         }
     }
 
     fn poll_chunk(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         while self.chunk.is_empty() {
-            if let Some(cause) = self.broken.take() {
+            if let Some(cause) = self.failure.take() {
                 return Poll::Ready(Err(io::Error::other(cause)));
             }
             let Some(call) = &mut self.call else { return Poll::Ready(Ok(())) };
@@ -96,31 +96,31 @@
                 Poll::Pending => {
                     ready!(Pin::new(&mut self.timer).poll_timer(cx));
                     let text = "the deadline passed";
-                    self.break_off(Refusal::failed(Step::Stream, text));
+                    self.interrupt(Refusal::failed(Step::Stream, text));
                     continue;
                 }
             };
             match next {
                 Some(Ok(Kind::Chunk(chunk))) => self.take(chunk),
                 Some(Ok(Kind::End(end))) => {
-                    call.learn(end.hint);
+                    call.record_report(end.hint);
                     if let Some(claim) = self.claim.take() {
-                        claim.ran();
+                        claim.settle_ran();
                     }
                     self.finish();
                 }
                 Some(Ok(Kind::Refusal(mut refusal))) => {
-                    call.learn(refusal.hint.take());
+                    call.record_report(refusal.hint.take());
                     let peer = call.peer().to_owned();
-                    self.break_off(refusal_from_wire(refusal, &peer));
+                    self.interrupt(refusal_from_wire(refusal, &peer));
                 }
                 Some(Ok(Kind::Begin(_))) | None => {
                     let text = "the agent ended the call in the middle of the answer";
-                    self.break_off(Refusal::failed(Step::Stream, text));
+                    self.interrupt(Refusal::failed(Step::Stream, text));
                 }
                 Some(Err(status)) => {
                     let text = format!("the call to the agent broke: {status}");
-                    self.break_off(Refusal::failed(Step::Stream, text));
+                    self.interrupt(Refusal::failed(Step::Stream, text));
                 }
             }
         }
@@ -129,39 +129,40 @@
 
     fn take(&mut self, chunk: Bytes) {
         if let Some(claim) = &mut self.claim {
-            claim.took(&chunk);
+            claim.record_chunk(&chunk);
         }
-        self.owed += units(chunk.len());
+        self.pending_credit += units(chunk.len());
         self.chunk = chunk;
-        if self.owed >= CREDIT_PORTION {
+        if self.pending_credit >= MIN_CREDIT_GRANT {
             if let Some(call) = &self.call {
-                call.grant(self.owed);
+                call.grant(self.pending_credit);
             }
-            self.owed = 0;
+            self.pending_credit = 0;
         }
     }
 
     fn finish(&mut self) {
-        // A claim that is still here is settled as unclear by its drop.
+        // Dropping a claim that is not settled settles it as unknown.
         self.claim = None;
         self.call = None;
         self.permit = None;
     }
 
-    /// Ends the answer as broken; a stream of events says so in its last event.
-    fn break_off(&mut self, refusal: Refusal) {
+    /// Ends the answer as interrupted; an event stream gets a last event with the error.
+    fn interrupt(&mut self, refusal: Refusal) {
         tracing::info!(%refusal, "an answer broke off");
-        if self.events {
-            let body = refuse::body(&refusal);
+        if self.is_event_stream {
+            let body = error_response::body(&refusal);
             self.chunk = format!("event: error\ndata: {body}\n\n").into();
         }
-        self.broken = Some(refusal.to_string());
+        self.failure = Some(refusal.to_string());
         self.finish();
     }
 }
 
 impl Drop for Relay {
-    /// Takes the rest of an answer that runs at most once, so that a resend gets it.
+    /// Reads the rest of an at-most-once answer in the background, so that it is kept and
+    /// replayed on a retry.
     fn drop(&mut self) {
         if self.claim.is_none() || self.call.is_none() {
             return;
@@ -170,10 +171,10 @@
             call: self.call.take(),
             permit: self.permit.take(),
             claim: self.claim.take(),
-            events: self.events,
+            is_event_stream: self.is_event_stream,
             chunk: Bytes::new(),
-            owed: self.owed,
-            broken: None,
+            pending_credit: self.pending_credit,
+            failure: None,
             timer: std::mem::replace(&mut self.timer, Timer::never()),
         };
         let drain = async move {
@@ -186,7 +187,7 @@
     }
 }
 
-/// Polls a timer without its value.
+/// Polls a timer and drops the value.
 trait PollTimer {
     fn poll_timer(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()>;
 }
@@ -197,10 +198,10 @@
     }
 }
 
-/// Makes a reader shareable, as http-types asks; it is only used by one task.
-struct Exclusive(Mutex<Relay>);
+/// Makes the relay `Sync`, which http-types requires of a body; only one task uses it.
+struct SyncRelay(Mutex<Relay>);
 
-impl AsyncRead for Exclusive {
+impl AsyncRead for SyncRelay {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -214,7 +215,7 @@
     }
 }
 
-impl AsyncBufRead for Exclusive {
+impl AsyncBufRead for SyncRelay {
     fn poll_fill_buf(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/larkspring/src/entry/keys/rpc.rs
+++ b/crates/larkspring/src/entry/keys/rpc.rs
@@ -1,4 +1,4 @@
-//! The serving side of the keys, for other entries.
+//! RPC service of the idempotency keys, for other entries.
 
 use std::sync::Arc;
 
@@ -11,11 +11,11 @@
 };
 use tonic::{Request, Response, Status};
 
-use super::{wall_clock, KeyAsk, Keys};
+use super::{wall_clock, KeyClaim, Keys};
 
-/// Serves the keys of an entry to others.
+/// Serves an entry's keys to other entries.
 pub struct Service {
-    /// The keys' side of the entry.
+    /// The keys of the entry.
     pub keys: Arc<Keys>,
 }
 
@@ -26,9 +26,9 @@
         req: Request<ClaimRequest>,
     ) -> Result<Response<ClaimReply>, Status> {
         let req = req.into_inner();
-        let key = KeyAsk {
+        let key = KeyClaim {
             partition: partition(req.partition)?,
-            birth: req.birth_ms,
+            created_ms: req.birth_ms,
             ask: Ask {
                 key: key(&req.key)?,
                 request: req.request,
@@ -52,7 +52,7 @@
         let req = req.into_inner();
         let ask =
             Ask { key: key(&req.key)?, request: 0, attempt: req.attempt, deadline: 0 };
-        let key = KeyAsk { partition: partition(req.partition)?, birth: 0, ask };
+        let key = KeyClaim { partition: partition(req.partition)?, created_ms: 0, ask };
         self.keys.settle_here(&key, Settled::from_code(req.settled), req.answer);
         Ok(Response::new(SettleReply {}))
     }
@@ -61,7 +61,7 @@
         &self,
         req: Request<HandoverRequest>,
     ) -> Result<Response<HandoverReply>, Status> {
-        self.keys.inherit(req.into_inner()).map(Response::new)
+        self.keys.import_claims(req.into_inner()).map(Response::new)
     }
 
     async fn hello(
--- a/crates/larkspring/src/entry/keys/table.rs
+++ b/crates/larkspring/src/entry/keys/table.rs
@@ -1,4 +1,4 @@
-//! The table that says who holds each partition, kept as one object.
+//! The table of partition holders, stored as one object.
 
 use std::collections::HashSet;
 use std::sync::atomic::Ordering;
@@ -9,122 +9,125 @@
 use larkspring_proto::keys::{HelloReply, HelloRequest, KeyTable, Tenure};
 use smol::Timer;
 
-use super::{timed, wall_clock, Keys};
+use super::{wall_clock, with_call_timeout, Keys};
 use crate::exec;
 use crate::platform::objects::{Object, ObjectApi, ObjectVersion};
 use crate::platform::PlatformError;
 
-/// What this entry knows of the table, by reads and by writes that surely succeeded.
+/// The latest version of the table known from reads and from confirmed writes.
 #[derive(Debug, Default)]
-pub struct View {
+pub struct TableView {
     version: ObjectVersion,
     pub(super) table: KeyTable,
-    /// Runs that did not answer.
+    /// Runs that did not answer, or are to be checked.
     suspects: HashSet<(String, RunId)>,
-    /// Runs that were proved to have ended.
+    /// Runs that are known to have ended.
     ended: HashSet<(String, RunId)>,
 }
 
-/// Looks at the table in the time of one lease, at least.
-const LOOKS_A_LEASE: u32 = 16;
+/// Minimum number of reads of the table during one lease.
+const READS_PER_LEASE: u32 = 16;
 /// Name of the object that holds the table.
-pub const TABLE: &str = "keys/table";
-/// Pause between two looks at the table.
-const TICK: Duration = Duration::from_millis(200);
-/// Pause while the object API fails.
+pub const TABLE_OBJECT: &str = "keys/table";
+/// Pause between two maintenance steps.
+const STEP_INTERVAL: Duration = Duration::from_millis(200);
+/// Pause after a failure of the object API.
 const FAILURE_PAUSE: Duration = Duration::from_secs(1);
-/// Time between two looks at the table of an entry that holds partitions; a watch would
-/// return at each renewal of any holder.
+/// Interval between reads of the table by an entry that holds partitions. The table is
+/// polled because a watch would return at each renewal of any holder.
 const HOLDER_INTERVAL: Duration = Duration::from_secs(5);
-/// The same of an entry that holds none; it looks at once where a key needs it.
-const OTHER_INTERVAL: Duration = Duration::from_secs(60);
-/// Other entries that are asked for their table at a time.
-const ASKED_AT_A_TIME: usize = 3;
-/// Free partitions taken at a time, so that entries that start together share them.
-const TAKEN_AT_A_TIME: usize = 8;
+/// Interval between reads of the table by an entry that holds no partition; such an entry
+/// also reads the table whenever a key needs it.
+const NON_HOLDER_INTERVAL: Duration = Duration::from_secs(60);
+/// Number of other entries asked for their table in one refresh.
+const MAX_ASKED_PER_REFRESH: usize = 3;
+/// Free partitions taken in one write, so that entries that start together share them.
+const MAX_TAKEN_PER_WRITE: usize = 8;
 
 impl Keys {
-    /// Follows the table for ever; takes over and renews partitions.
+    /// Follows the table, renews held partitions and takes over others; never returns.
     pub async fn maintain(self: Arc<Self>) {
         loop {
             let pause = match self.step().await {
-                Ok(()) => TICK,
+                Ok(()) => STEP_INTERVAL,
                 Err(e) => {
-                    tracing::warn!(error = %e, "the keys' table can't be followed");
+                    tracing::warn!(error = %e, "object API failed; key table not updated");
                     FAILURE_PAUSE
                 }
             };
-            self.prove_ends().await;
+            self.check_suspects().await;
             let jitter = fastrand::f64() + 0.5;
             Timer::after(pause.mul_f64(jitter)).await;
         }
     }
 
-    /// Gets a newer table now: from the API, or in its outage from other entries.
+    /// Reads the table now: from the object API, or from other entries if that fails.
     pub(super) async fn refresh(&self) {
-        match self.api.get(TABLE).await {
-            Ok(object) => drop(self.take_in(object)),
-            Err(_) => self.ask_others().await,
+        match self.api.get(TABLE_OBJECT).await {
+            Ok(object) => drop(self.adopt_object(object)),
+            Err(_) => self.refresh_from_others().await,
         }
-        Timer::after(TICK).await;
+        Timer::after(STEP_INTERVAL).await;
     }
 
-    /// Returns this run, and the table that it surely knows.
+    /// Returns the id of this run and the latest known table.
     pub(super) fn hello(&self) -> HelloReply {
         let view = self.view.lock();
         HelloReply {
-            run: self.me.run,
+            run: self.own_tenure.run,
             version: view.version,
             table: Some(view.table.clone()),
         }
     }
 
-    /// Takes in the tables that other holders know.
-    async fn ask_others(&self) {
+    /// Adopts newer tables known to other holders.
+    async fn refresh_from_others(&self) {
         let mut holders = self.other_holders();
         fastrand::shuffle(&mut holders);
-        for holder in holders.iter().take(ASKED_AT_A_TIME) {
+        for holder in holders.iter().take(MAX_ASKED_PER_REFRESH) {
             let Ok(mut client) = self.client(holder).await else { continue };
             let req = HelloRequest::default();
-            let Ok(reply) = timed(client.hello(req)).await else { continue };
+            let Ok(reply) = with_call_timeout(client.hello(req)).await else { continue };
             self.adopt(reply.version, reply.table.unwrap_or_default());
         }
     }
 
-    /// Tells the other holders of partitions that this run took.
+    /// Notifies the other holders of the partitions that this run took.
     ///
-    /// They look at the table every few seconds only, and could not look at all if the
-    /// object API failed before that; a key of a partition whose holder they do not know
-    /// would be refused as unclear until it is back.
-    fn tell_others(self: &Arc<Self>) {
+    /// They read the table only every few seconds, and cannot read the table at all while
+    /// the object API is unavailable. Until then, a key of a partition whose holder they
+    /// do not know would be refused as unknown.
+    fn notify_other_holders(self: &Arc<Self>) {
         for holder in self.other_holders() {
             let keys = self.clone();
-            let tell = async move {
+            let notify = async move {
                 let (version, table) = keys.known_table();
                 let req = HelloRequest { version, table: Some(table) };
-                let told = match keys.client(&holder).await {
-                    Ok(mut client) => timed(client.hello(req)).await.map(drop),
+                let notified = match keys.client(&holder).await {
+                    Ok(mut client) => {
+                        with_call_timeout(client.hello(req)).await.map(drop)
+                    }
                     Err(e) => Err(e),
                 };
-                if let Err(e) = told {
-                    // It finds out by its next look at the table.
+                if let Err(e) = notified {
+                    // The holder learns of the change by its next read of the table.
                     tracing::info!(event = "table not told", holder = holder.holder, error = %e);
                 }
             };
-            exec::spawn(tell).detach();
+            exec::spawn(notify).detach();
         }
     }
 
-    /// Other runs that hold partitions, each once.
+    /// Returns the other runs that hold partitions, each once.
     fn other_holders(&self) -> Vec<Tenure> {
         let mut holders = self.view.lock().table.partitions.clone();
-        holders.retain(|t| !t.holder.is_empty() && !same_run(t, &self.me));
+        holders.retain(|t| !t.holder.is_empty() && !same_run(t, &self.own_tenure));
         holders.sort_by(|a, b| (&a.holder, a.run).cmp(&(&b.holder, b.run)));
         holders.dedup_by(|a, b| same_run(a, b));
         holders
     }
 
-    /// Makes a table the known one, unless a newer one is known already.
+    /// Adopts a table if its version is newer than the known one.
     pub(super) fn adopt(&self, version: ObjectVersion, table: KeyTable) {
         let mut view = self.view.lock();
         if view.version < version {
@@ -133,19 +136,19 @@
         }
     }
 
-    /// Notes that a run did not answer.
+    /// Records that a run did not answer.
     pub(super) fn suspect(&self, holder: &Tenure) {
         let run = (holder.holder.clone(), holder.run);
         self.view.lock().suspects.insert(run);
         self.changed.notify(usize::MAX);
     }
 
-    /// Changes the table if there is reason to, else waits for a change.
+    /// Updates the table if a partition can be renewed or taken; otherwise waits.
     async fn step(self: &Arc<Self>) -> Result<(), PlatformError> {
         let seen = self.view.lock().version;
         if seen == 0 {
-            let object = self.api.get(TABLE).await?;
-            self.take_in(object)?;
+            let object = self.api.get(TABLE_OBJECT).await?;
+            self.adopt_object(object)?;
         }
         let (version, next) = {
             let view = self.view.lock();
@@ -155,20 +158,20 @@
         let held = self.held();
         self.write(version, next).await?;
         if self.held() > held {
-            self.tell_others();
+            self.notify_other_holders();
         }
         Ok(())
     }
 
-    /// Waits until it is time to look at the table again, or a run is suspected.
+    /// Waits for the next interval or a suspected run, then reads the table.
     async fn wait(&self) -> Result<(), PlatformError> {
         use futures_lite::FutureExt;
         let interval = match self.held() {
-            0 => OTHER_INTERVAL,
+            0 => NON_HOLDER_INTERVAL,
             _ => HOLDER_INTERVAL,
         };
-        // A lease may be shorter than the usual time between two looks.
-        let interval = interval.min(self.terms.lease / LOOKS_A_LEASE);
+        // With a short lease the usual interval would be too long.
+        let interval = interval.min(self.terms.lease / READS_PER_LEASE);
         let suspicion = async {
             self.changed.listen().await;
             true
@@ -178,18 +181,18 @@
             false
         };
         if !suspicion.or(late).await {
-            self.suspect_any();
+            self.suspect_random();
         }
-        let object = self.api.get(TABLE).await?;
-        self.take_in(object)
+        let object = self.api.get(TABLE_OBJECT).await?;
+        self.adopt_object(object)
     }
 
-    /// Notes some holder as one to look at, so that an end is found without requests.
-    fn suspect_any(&self) {
+    /// Marks a random holder for a check, so that ended runs are found without requests.
+    fn suspect_random(&self) {
         let mut view = self.view.lock();
-        let place = fastrand::usize(..PARTITIONS);
-        let holder = view.table.partitions.get(place).cloned().unwrap_or_default();
-        if !holder.holder.is_empty() && !same_run(&holder, &self.me) {
+        let partition = fastrand::usize(..PARTITIONS);
+        let holder = view.table.partitions.get(partition).cloned().unwrap_or_default();
+        if !holder.holder.is_empty() && !same_run(&holder, &self.own_tenure) {
             view.suspects.insert((holder.holder, holder.run));
         }
     }
@@ -200,27 +203,27 @@
         (view.version, view.table.clone())
     }
 
-    /// Writes the table; the view changes only if that surely succeeded.
+    /// Writes the table; the view changes only if the write is confirmed.
     pub(super) async fn write(
         &self,
         version: ObjectVersion,
         table: KeyTable,
     ) -> Result<(), PlatformError> {
         let value = serde_json::to_vec(&table).unwrap_or_default();
-        match self.api.put(TABLE, version, value).await {
+        match self.api.put(TABLE_OBJECT, version, value).await {
             Ok(version) => {
                 self.adopt(version, table);
                 Ok(())
             }
             Err(PlatformError::Conflict(_) | PlatformError::Unclear(..)) => {
-                let object = self.api.get(TABLE).await?;
-                self.take_in(object)
+                let object = self.api.get(TABLE_OBJECT).await?;
+                self.adopt_object(object)
             }
             Err(e) => Err(e),
         }
     }
 
-    fn take_in(&self, object: Option<Object>) -> Result<(), PlatformError> {
+    fn adopt_object(&self, object: Option<Object>) -> Result<(), PlatformError> {
         let Some(object) = object else { return Ok(()) };
         let table = serde_json::from_slice(&object.value)
             .map_err(|e| PlatformError::Answer("read the keys' table", e.to_string()))?;
@@ -228,8 +231,9 @@
         Ok(())
     }
 
-    /// Returns the table with what this run may renew or take, if there is anything.
-    fn next_table(&self, view: &View) -> Option<KeyTable> {
+    /// Returns the table with the partitions that this run renews or takes; `None` if
+    /// there are none.
+    fn next_table(&self, view: &TableView) -> Option<KeyTable> {
         if self.closing.load(Ordering::Acquire) {
             return None;
         }
@@ -237,25 +241,30 @@
         let mut next = view.table.clone();
         next.partitions.resize(PARTITIONS, Tenure::default());
         let mut changed = false;
-        for t in next.partitions.iter_mut().filter(|t| same_run(t, &self.me)) {
+        for t in next.partitions.iter_mut().filter(|t| same_run(t, &self.own_tenure)) {
             if let Some(renewed) = renewal(t, &self.terms, now) {
                 *t = renewed;
                 changed = true;
             }
         }
-        let mut places: Vec<_> = (0..PARTITIONS).collect();
-        fastrand::shuffle(&mut places);
-        let held = next.partitions.iter().filter(|t| same_run(t, &self.me)).count();
-        let room = self.most.saturating_sub(held).min(TAKEN_AT_A_TIME);
+        let mut partitions: Vec<_> = (0..PARTITIONS).collect();
+        fastrand::shuffle(&mut partitions);
+        let held =
+            next.partitions.iter().filter(|t| same_run(t, &self.own_tenure)).count();
+        let room = self.max_partitions.saturating_sub(held).min(MAX_TAKEN_PER_WRITE);
         let mut taken = 0;
-        for place in places {
+        for partition in partitions {
             if taken == room {
                 break;
             }
-            let t = &mut next.partitions[place];
-            let Some(new) =
-                takeover(t, &self.me, self.state_of(view, t), &self.terms, now)
-            else {
+            let t = &mut next.partitions[partition];
+            let Some(new) = takeover(
+                t,
+                &self.own_tenure,
+                self.holder_state(view, t),
+                &self.terms,
+                now,
+            ) else {
                 continue;
             };
             *t = new;
@@ -264,10 +273,10 @@
         (changed || taken > 0).then_some(next)
     }
 
-    /// Says what is known of the run that holds a partition.
-    fn state_of(&self, view: &View, t: &Tenure) -> Holder {
-        // Whoever listens at an address is the only run there.
-        let replaced = t.holder == self.me.holder && t.run != self.me.run;
+    /// Returns whether the run that holds a partition is known to have ended.
+    fn holder_state(&self, view: &TableView, t: &Tenure) -> Holder {
+        // Only one run can listen at an address.
+        let replaced = t.holder == self.own_tenure.holder && t.run != self.own_tenure.run;
         let ended = view.ended.contains(&(t.holder.clone(), t.run));
         match replaced || ended {
             true => Holder::Ended,
@@ -275,13 +284,14 @@
         }
     }
 
-    /// Asks the suspects which run they are; another run proves the end of the old one.
-    async fn prove_ends(&self) {
+    /// Asks each suspect for its run id; a different id proves that the old run has
+    /// ended.
+    async fn check_suspects(&self) {
         let suspects = std::mem::take(&mut self.view.lock().suspects);
         for (addr, run) in suspects {
             let holder = Tenure { holder: addr.clone(), run, ..Tenure::default() };
             let Ok(mut client) = self.client(&holder).await else { continue };
-            match timed(client.hello(HelloRequest::default())).await {
+            match with_call_timeout(client.hello(HelloRequest::default())).await {
                 Ok(reply) if reply.run != run => {
                     self.view.lock().ended.insert((addr, run));
                 }
--- a/crates/larkspring/src/http/server.rs
+++ b/crates/larkspring/src/http/server.rs
@@ -1,7 +1,8 @@
-//! Connections of callers: framing, limits and hang-ups around async-h1.
+//! HTTP server: framing, limits and disconnect detection around async-h1.
 //!
-//! Each request is read whole, within its limits, before async-h1 decodes it. While it
-//! is served the socket is watched, so that a caller's hang-up ends its work.
+//! Each request is read completely, within its limits, before async-h1 decodes it. While
+//! a request is served the socket is watched, so that the request is cancelled if the
+//! caller disconnects.
 
 use std::future::Future;
 use std::io;
@@ -22,27 +23,27 @@
 use smol::net::{TcpListener, TcpStream};
 use smol::Timer;
 
-use super::head::{check, Head, HeadError};
+use super::head::{parse_head, HeadError, RequestHead};
 use crate::exec;
 
-/// Bounds of a connection.
+/// Limits of a server and its connections.
 #[derive(Debug, Clone)]
 pub struct Limits {
-    /// Bytes of a body.
+    /// Maximum size of a request body, in bytes.
     pub max_body: usize,
-    /// Time for a request to come whole.
+    /// Limit on the time until a request has arrived completely.
     pub read_timeout: Duration,
-    /// Time that a connection may wait between requests.
+    /// Longest time that a connection may be idle between requests.
     pub idle_timeout: Duration,
-    /// Time that a caller may take nothing of its answer.
+    /// Longest time that a caller may read nothing of its answer.
     pub stall_timeout: Duration,
-    /// Connections at a time.
+    /// Maximum number of open connections.
     pub max_connections: usize,
 }
 
-/// Answers requests.
+/// Handles requests.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request; dropped if the caller hangs up.
+    /// Answers one request; the future is dropped if the caller disconnects.
     fn handle(
         self: Arc<Self>,
         req: Request,
@@ -52,13 +53,13 @@
     /// Builds the answer to a request that could not be read.
     fn refuse(&self, error: &HeadError) -> Response;
 
-    /// Whether connections close after the answer under way.
+    /// Whether connections close after the current answer.
     fn stopping(&self) -> bool {
         false
     }
 }
 
-/// Accepts connections for ever; those over the limit are closed at once.
+/// Accepts connections and closes those over the limit at once; never returns.
 pub async fn serve<H: Handler>(listener: TcpListener, limits: Limits, handler: Arc<H>) {
     let limits = Arc::new(limits);
     let open = Arc::new(());
@@ -73,9 +74,9 @@
         let (handler, limits, open) = (handler.clone(), limits.clone(), open.clone());
         exec::spawn(async move {
             let _ = sock.set_nodelay(true);
-            let _ = set_socket_send_buffer_size(&sock, SEND_BUFFER);
+            let _ = set_socket_send_buffer_size(&sock, SEND_BUFFER_BYTES);
             let mut conn = Connection { sock, peer, limits, buf: Vec::new() };
-            // A broken connection concerns its caller alone.
+            // An error of a connection affects only its caller.
             let _ = conn.run(handler).await;
             drop(open);
         })
@@ -83,23 +84,24 @@
     }
 }
 
-/// Bytes of an answer that the system holds for a caller that does not take them.
-const SEND_BUFFER: usize = 64 * 1024;
+/// Size of the socket's send buffer in bytes, which bounds the memory for a stalled
+/// caller.
+const SEND_BUFFER_BYTES: usize = 64 * 1024;
 
 struct Connection {
     sock: TcpStream,
     peer: SocketAddr,
     limits: Arc<Limits>,
-    /// Bytes received and not yet served.
+    /// Bytes received and not yet processed.
     buf: Vec<u8>,
 }
 
-const READ_SIZE: usize = 4096;
-/// Bytes of an answer that are copied at a time.
-const COPY_SIZE: usize = 2048;
-const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
-/// Pipelined bytes that are taken in while a request is served.
-const MAX_PIPELINED: usize = 16 * 1024;
+const READ_BUFFER_BYTES: usize = 4096;
+/// Size of the buffer for copying an answer, in bytes.
+const COPY_BUFFER_BYTES: usize = 2048;
+const CONTINUE_RESPONSE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
+/// Maximum number of pipelined bytes buffered while a request is served.
+const MAX_PIPELINED_BYTES: usize = 16 * 1024;
 
 impl Connection {
     async fn run<H: Handler>(&mut self, handler: Arc<H>) -> io::Result<()> {
@@ -120,14 +122,14 @@
         }
     }
 
-    /// Decodes a request and gets its answer; `None` if the caller has hung up.
+    /// Decodes a request and gets its answer; `None` if the caller has disconnected.
     async fn answer<H: Handler>(
         &mut self,
         message: Vec<u8>,
         handler: Arc<H>,
     ) -> io::Result<Option<(Method, Response)>> {
         let peer = self.peer;
-        let decoded = async_h1::server::decode(Message::new(message)).await;
+        let decoded = async_h1::server::decode(BufferedRequest::new(message)).await;
         let Ok(Some((req, body))) = decoded else {
             let e = HeadError::Malformed("the request can't be read");
             return self.refuse(&*handler, &e).await.map(|()| None);
@@ -139,41 +141,41 @@
             Some((method, res))
         };
         let gone = async {
-            self.watch_hang_up().await;
+            self.watch_disconnect().await;
             None
         };
         Ok(work.or(gone).await)
     }
 
-    /// Sends an answer as it comes; false if the caller has hung up.
+    /// Sends an answer as it is produced; false if the caller has disconnected.
     async fn send(&mut self, method: Method, res: Response) -> io::Result<bool> {
         let mut encoder = async_h1::server::Encoder::new(res, method);
         let stall = self.limits.stall_timeout;
         let mut sock = self.sock.clone();
         let copy = async {
-            let mut buf = vec![0; COPY_SIZE];
+            let mut buf = vec![0; COPY_BUFFER_BYTES];
             loop {
                 let n = encoder.read(&mut buf).await?;
                 if n == 0 {
                     return Ok(true);
                 }
-                sock.write_all(&buf[..n]).or(timed_out(stall)).await?;
+                sock.write_all(&buf[..n]).or(time_out_after(stall)).await?;
             }
         };
         let gone = async {
-            self.watch_hang_up().await;
+            self.watch_disconnect().await;
             Ok(false)
         };
         copy.or(gone).await
     }
 
-    /// Reads the next request whole; `None` if the caller sends no more.
+    /// Reads the next complete request; `None` if the caller closes or idles too long.
     async fn next_message(
         &mut self,
-    ) -> io::Result<Result<Option<(Head, Vec<u8>)>, HeadError>> {
+    ) -> io::Result<Result<Option<(RequestHead, Vec<u8>)>, HeadError>> {
         if self.buf.is_empty() {
             let idle = self.limits.idle_timeout;
-            match self.read_some().or(timed_out(idle)).await {
+            match self.read_chunk().or(time_out_after(idle)).await {
                 Ok(0) => return Ok(Ok(None)),
                 Ok(_) => {}
                 Err(e) if e.kind() == io::ErrorKind::TimedOut => return Ok(Ok(None)),
@@ -183,31 +185,31 @@
         let limit = self.limits.read_timeout;
         let slow = async {
             Timer::after(limit).await;
-            Ok(Err(HeadError::Slow))
+            Ok(Err(HeadError::Timeout))
         };
         self.read_message().or(slow).await
     }
 
     async fn read_message(
         &mut self,
-    ) -> io::Result<Result<Option<(Head, Vec<u8>)>, HeadError>> {
+    ) -> io::Result<Result<Option<(RequestHead, Vec<u8>)>, HeadError>> {
         let head = loop {
-            match check(&self.buf, self.limits.max_body) {
+            match parse_head(&self.buf, self.limits.max_body) {
                 Ok(Some(head)) => break head,
                 Ok(None) => {}
                 Err(e) => return Ok(Err(e)),
             }
-            if self.read_some().await? == 0 {
-                return Ok(Err(HeadError::Cut));
+            if self.read_chunk().await? == 0 {
+                return Ok(Err(HeadError::Truncated));
             }
         };
         let len = head.len + head.body_len;
         if head.expects_continue && self.buf.len() < len {
-            self.sock.write_all(CONTINUE).await?;
+            self.sock.write_all(CONTINUE_RESPONSE).await?;
         }
         while self.buf.len() < len {
-            if self.read_some().await? == 0 {
-                return Ok(Err(HeadError::Cut));
+            if self.read_chunk().await? == 0 {
+                return Ok(Err(HeadError::Truncated));
             }
         }
         let rest = self.buf.split_off(len);
@@ -216,11 +218,11 @@
         Ok(Ok(Some((head, message))))
     }
 
-    async fn read_some(&mut self) -> io::Result<usize> {
+    async fn read_chunk(&mut self) -> io::Result<usize> {
         let mut sock = self.sock.clone();
         poll_fn(|cx| {
-            // On the stack, so that no waiting connection holds the room.
-            let mut chunk = [0; READ_SIZE];
+            // On the stack, so that a waiting connection holds no buffer.
+            let mut chunk = [0; READ_BUFFER_BYTES];
             let n = ready!(Pin::new(&mut sock).poll_read(cx, &mut chunk))?;
             self.buf.extend_from_slice(&chunk[..n]);
             Poll::Ready(Ok(n))
@@ -228,15 +230,15 @@
         .await
     }
 
-    /// Returns when the caller closes its side or the connection breaks.
-    async fn watch_hang_up(&mut self) {
-        while self.buf.len() < MAX_PIPELINED {
-            match self.read_some().await {
+    /// Waits until the caller closes its side or the connection breaks.
+    async fn watch_disconnect(&mut self) {
+        while self.buf.len() < MAX_PIPELINED_BYTES {
+            match self.read_chunk().await {
                 Ok(0) | Err(_) => return,
                 Ok(_) => {}
             }
         }
-        // A caller with that much pipelined is noticed when its answer is written.
+        // Beyond this limit a disconnect is detected when the answer is written.
         future::pending().await
     }
 
@@ -247,41 +249,42 @@
         let mut buf = Vec::new();
         encoder.read_to_end(&mut buf).await?;
         let write = async { self.sock.write_all(&buf).await };
-        write.or(timed_out(self.limits.stall_timeout)).await?;
+        write.or(time_out_after(self.limits.stall_timeout)).await?;
         self.linger().await
     }
 
-    /// Takes what the caller still sends, so that it can read the refusal.
+    /// Reads and discards further input for a while, so that the caller can read the
+    /// refusal before the connection is reset.
     async fn linger(&mut self) -> io::Result<()> {
         let _ = self.sock.shutdown(std::net::Shutdown::Write);
         let drain = async {
-            while self.read_some().await? > 0 {
+            while self.read_chunk().await? > 0 {
                 self.buf.clear();
             }
             Ok(())
         };
-        drain.or(timed_out(LINGER)).await
+        drain.or(time_out_after(LINGER_TIMEOUT)).await
     }
 }
 
-const LINGER: Duration = Duration::from_secs(1);
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 
-async fn timed_out<T>(limit: Duration) -> io::Result<T> {
+async fn time_out_after<T>(limit: Duration) -> io::Result<T> {
     Timer::after(limit).await;
     Err(io::ErrorKind::TimedOut.into())
 }
 
-/// A request in memory, as async-h1 reads it; what it would write is dropped.
+/// A buffered request that async-h1 reads; writes are discarded.
 #[derive(Clone)]
-struct Message(Arc<Mutex<Cursor<Vec<u8>>>>);
+struct BufferedRequest(Arc<Mutex<Cursor<Vec<u8>>>>);
 
-impl Message {
+impl BufferedRequest {
     fn new(bytes: Vec<u8>) -> Self {
         Self(Arc::new(Mutex::new(Cursor::new(bytes))))
     }
 }
 
-impl AsyncRead for Message {
+impl AsyncRead for BufferedRequest {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -291,7 +294,7 @@
     }
 }
 
-impl AsyncWrite for Message {
+impl AsyncWrite for BufferedRequest {
     fn poll_write(
         self: Pin<&mut Self>,
         _: &mut Context<'_>,
--- a/crates/larkspring/src/operate/publish.rs
+++ b/crates/larkspring/src/operate/publish.rs
@@ -1,9 +1,9 @@
-//! Writing a declaration to the object API as one change of the root.
+//! Publishing a declaration to the object API as one change of the root.
 //!
-//! The declaration is cut into immutable chunks named by their content. A change writes
-//! the new chunks and then updates the root, on the condition that it is still the root
-//! that the change was made from. A lost reply is resolved by reading the root back: it
-//! lists the ids of its last changes.
+//! The declaration is split into immutable chunks named by their content hash. A change
+//! writes the new chunks and then updates the root, on the condition that the root is
+//! still the one from which the change was made. A lost reply is resolved by reading the
+//! root back, which lists the ids of the latest changes.
 
 use std::collections::BTreeSet;
 
@@ -11,58 +11,61 @@
 use larkspring_proto::declared::{Chunk, Root};
 use quick_error::quick_error;
 
-use crate::in_force::{chunk_name, ROOT};
+use crate::in_force::{chunk_name, ROOT_OBJECT};
 use crate::platform::objects::{ObjectApi, ObjectVersion};
 use crate::platform::PlatformError;
 
-/// Chunks of a declaration; at 49,000 adapters each holds about 5 KB, which is what one
-/// change sends to each process.
-pub const CHUNKS: usize = 1024;
+/// Number of chunks of a declaration. With 49,000 adapters each holds about 5 KB, the
+/// amount that one change sends to each process.
+pub const CHUNK_COUNT: usize = 1024;
 /// Hex digits of a chunk's content hash, 128 bits of its SHA-256.
 const HASH_DIGITS: usize = 32;
-/// Change ids that the root keeps.
-const KEPT_CHANGES: usize = 64;
-/// Tries to find out whether a change with a lost reply took effect.
-const READ_BACKS: u32 = 5;
+/// Number of latest change ids kept in the root.
+const MAX_KEPT_CHANGES: usize = 64;
+/// Attempts to read the root back after a write with a lost reply.
+const READ_BACK_ATTEMPTS: u32 = 5;
 
 quick_error! {
-    /// Why a change is not known to be accepted.
+    /// Error of a change that was not accepted, or not confirmed as accepted.
     #[derive(Debug)]
     pub enum PublishError {
         /// The change is not accepted and has no effect.
         Refused(cause: String) { display("not accepted: {cause}") }
-        /// Another change came first: the revision now in the API.
+        /// Another change came first and made `revision`.
         Outdated(revision: u64) {
             display("not accepted: another change made revision {revision} first")
         }
-        /// It can't be found out now whether the change was accepted.
+        /// It is unknown whether the change was accepted.
         Unknown(change: String, cause: String) {
             display("unknown whether change {change} was accepted: {cause}")
         }
     }
 }
 
-/// The root as read, with its version in the object API.
+/// The root and its version in the object API.
 #[derive(Debug, Clone, Default)]
-pub struct Present {
-    /// Version of the object.
+pub struct RootSnapshot {
+    /// Version of the root object.
     pub version: ObjectVersion,
-    /// The root; the default one if there is none yet.
+    /// The root; empty if none exists yet.
     pub root: Root,
 }
 
-/// Reads the present root.
-pub async fn present(api: &dyn ObjectApi) -> Result<Present, PlatformError> {
-    let Some(object) = api.get(ROOT).await? else { return Ok(Present::default()) };
+/// Reads the current root.
+pub async fn present(api: &dyn ObjectApi) -> Result<RootSnapshot, PlatformError> {
+    let Some(object) = api.get(ROOT_OBJECT).await? else {
+        return Ok(RootSnapshot::default());
+    };
     let root = serde_json::from_slice(&object.value);
     let root = root.map_err(|e| PlatformError::Answer("read the root", e.to_string()))?;
-    Ok(Present { version: object.version, root })
+    Ok(RootSnapshot { version: object.version, root })
 }
 
-/// Makes `all` the declared state, if the root is still `from`; returns its revision.
+/// Publishes `all` as the declared state if the root is still `from`; returns the
+/// revision.
 pub async fn publish(
     api: &dyn ObjectApi,
-    from: &Present,
+    from: &RootSnapshot,
     all: &Chunk,
     change: &str,
 ) -> Result<u64, PublishError> {
@@ -73,7 +76,8 @@
     publish_root(api, from, chunks, change).await
 }
 
-/// Writes the chunks of a declaration that `from` lacks; returns all their hashes.
+/// Writes the chunks of a declaration that `from` lacks; returns the hashes of all
+/// chunks.
 pub async fn write_chunks(
     api: &dyn ObjectApi,
     from: &Root,
@@ -93,35 +97,35 @@
     Ok(hashes)
 }
 
-/// Makes chunks that are written the declared state, if the root is still `from`.
+/// Publishes chunks that are already written, if the root is still `from`.
 pub async fn publish_root(
     api: &dyn ObjectApi,
-    from: &Present,
+    from: &RootSnapshot,
     chunks: Vec<String>,
     change: &str,
 ) -> Result<u64, PublishError> {
     let root = next_root(&from.root, chunks, change);
     let value = serde_json::to_vec(&root).unwrap_or_default();
-    match api.put(ROOT, from.version, value).await {
+    match api.put(ROOT_OBJECT, from.version, value).await {
         Ok(_) => Ok(root.revision),
-        Err(e) => resolve(api, change, e).await,
+        Err(e) => resolve_failed_write(api, change, e).await,
     }
 }
 
-/// Cuts a declaration into chunks by the hash of each name.
+/// Splits a declaration into chunks by the hash of each name.
 pub fn split(all: &Chunk) -> Vec<Chunk> {
-    let mut chunks = vec![Chunk::default(); CHUNKS];
+    let mut chunks = vec![Chunk::default(); CHUNK_COUNT];
     for adapter in &all.adapters {
-        chunks[place(&adapter.name, CHUNKS)].adapters.push(adapter.clone());
+        chunks[place(&adapter.name, CHUNK_COUNT)].adapters.push(adapter.clone());
     }
     for caller in &all.callers {
-        chunks[place(&caller.name, CHUNKS)].callers.push(caller.clone());
+        chunks[place(&caller.name, CHUNK_COUNT)].callers.push(caller.clone());
     }
     for service in &all.services {
-        chunks[place(&service.name, CHUNKS)].services.push(service.clone());
+        chunks[place(&service.name, CHUNK_COUNT)].services.push(service.clone());
     }
     for endpoint in &all.endpoints {
-        chunks[place(&endpoint.name, CHUNKS)].endpoints.push(endpoint.clone());
+        chunks[place(&endpoint.name, CHUNK_COUNT)].endpoints.push(endpoint.clone());
     }
     chunks
 }
@@ -129,12 +133,12 @@
 fn next_root(from: &Root, chunks: Vec<String>, change: &str) -> Root {
     let mut changes = from.changes.clone();
     changes.push(change.into());
-    let old = changes.len().saturating_sub(KEPT_CHANGES);
+    let old = changes.len().saturating_sub(MAX_KEPT_CHANGES);
     changes.drain(..old);
     Root { revision: from.revision + 1, chunks, changes }
 }
 
-/// Writes an immutable chunk; one that is there already is as good.
+/// Writes an immutable chunk; succeeds if the chunk already exists.
 async fn write_chunk(
     api: &dyn ObjectApi,
     hash: &str,
@@ -149,8 +153,8 @@
     }
 }
 
-/// Finds out what became of a change whose write did not clearly succeed.
-async fn resolve(
+/// Determines by reading the root whether a change was accepted after its write failed.
+async fn resolve_failed_write(
     api: &dyn ObjectApi,
     change: &str,
     cause: PlatformError,
@@ -158,7 +162,7 @@
     if let PlatformError::NoEffect(..) = cause {
         return Err(PublishError::Refused(cause.to_string()));
     }
-    for _ in 0..READ_BACKS {
+    for _ in 0..READ_BACK_ATTEMPTS {
         let Ok(now) = present(api).await else { continue };
         return match now.root.changes.iter().any(|c| c == change) {
             true => Ok(now.root.revision),
