--- a/crates/larkspring-core/src/slots.rs
+++ b/crates/larkspring-core/src/slots.rs
@@ -1,6 +1,6 @@
 //! Scheduling of adapter loads, unloads and request starts at an agent.
 //!
-//! The agent records each event and then calls [`Slots::schedule`] for the actions that
+//! The agent records each event and then calls [`EngineScheduler::schedule`] for the actions that
 //! follow. Requests that wait for an adapter are kept outside the engine's batch.
 
 mod fresh;
@@ -14,31 +14,31 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
-pub use self::limits::{Eviction, Limits, LoadOrder};
+pub use self::limits::{EngineLimits, EvictionPolicy, LoadOrder};
 use self::refuse::{draining_refusal, unreachable_refusal};
 use self::residency::{Phase, Residency, UseCount};
 use self::window::FetchWindow;
-use crate::fleet::copies::Copies;
+use crate::fleet::copies::HostCopies;
 use crate::ids::{AttemptId, Incarnation, Target, TargetHash};
 use crate::outcome::{Refusal, Step};
 
 /// The adapters, waiting requests and running requests of one engine.
 #[derive(Debug)]
-pub struct Slots {
-    limits: Limits,
+pub struct EngineScheduler {
+    limits: EngineLimits,
     incarnation: Option<Incarnation>,
     adapters: HashMap<Target, Residency>,
-    waiting: BTreeMap<AttemptId, Waiting>,
+    waiting: BTreeMap<AttemptId, QueuedRequest>,
     running: HashMap<AttemptId, Running>,
     failures: HashMap<Target, Failure>,
     /// When adapters were unloaded, while delayed reports may still list them.
-    unloaded: HashMap<Target, Instant>,
+    record_unload_end: HashMap<Target, Instant>,
     /// Use counts of adapters that are not resident, for the case that they are loaded
     /// again.
     past_uses: HashMap<Target, UseCount>,
     /// Adapters of which the engine's VM has host-memory copies, so that no fetch is
     /// needed.
-    copies: Copies,
+    copies: HostCopies,
     fetch_window: FetchWindow,
     load_time: Duration,
     service_time: Duration,
@@ -52,11 +52,11 @@
 
 /// An adapter that an engine reports as resident.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Held {
+pub struct ReportedAdapter {
     /// The exact adapter.
     pub target: Target,
     /// Requests that use the adapter and were not sent by this agent.
-    pub foreign: usize,
+    pub other_requests: usize,
 }
 
 /// An action for the agent to carry out.
@@ -74,20 +74,20 @@
 
 /// A waiting request.
 #[derive(Debug, Clone)]
-pub struct Waiting {
+pub struct QueuedRequest {
     /// The exact adapter that the request named.
     pub target: Target,
     /// Priority; 0 is the most urgent.
     pub priority: u32,
     /// Arrival time.
-    pub since: Instant,
+    pub arrived_at: Instant,
     /// Deadline of the caller.
     pub deadline: Instant,
     /// Soft deadline: until when the adapter has to be ready for the answer to begin in
     /// time.
-    pub due: Instant,
+    pub soft_deadline: Instant,
     /// Utility of an answer in time, relative to other requests.
-    pub worth: f64,
+    pub utility: f64,
 }
 
 #[derive(Debug)]
@@ -110,11 +110,11 @@
 /// Weight of a new sample in a moving average.
 const SAMPLE_WEIGHT: f64 = 0.2;
 
-impl Slots {
+impl EngineScheduler {
     /// Creates the state of an engine without known adapters.
-    pub fn new(limits: Limits) -> Self {
+    pub fn new(limits: EngineLimits) -> Self {
         Self {
-            copies: Copies::default(),
+            copies: HostCopies::default(),
             fetch_window: FetchWindow::new(limits.max_loading),
             limits,
             incarnation: None,
@@ -122,7 +122,7 @@
             waiting: BTreeMap::new(),
             running: HashMap::new(),
             failures: HashMap::new(),
-            unloaded: HashMap::new(),
+            record_unload_end: HashMap::new(),
             past_uses: HashMap::new(),
             load_time: INITIAL_LOAD_TIME,
             service_time: INITIAL_SERVICE_TIME,
@@ -139,7 +139,7 @@
         &mut self,
         now: Instant,
         id: AttemptId,
-        req: Waiting,
+        req: QueuedRequest,
     ) -> Result<bool, Refusal> {
         if self.draining {
             return Err(draining_refusal());
@@ -168,12 +168,12 @@
     }
 
     /// Withdraws a request that has not started. Returns false if it has.
-    pub fn abandon(&mut self, id: AttemptId) -> bool {
+    pub fn cancel(&mut self, id: AttemptId) -> bool {
         self.waiting.remove(&id).is_some()
     }
 
     /// Records that a request has ended and the engine holds no state of it.
-    pub fn ended(&mut self, now: Instant, id: AttemptId) {
+    pub fn record_request_end(&mut self, now: Instant, id: AttemptId) {
         let Some(run) = self.running.remove(&id) else { return };
         if run.incarnation != self.incarnation {
             return;
@@ -187,7 +187,7 @@
     }
 
     /// Records the end of a load.
-    pub fn loaded(&mut self, now: Instant, target: &Target, ok: bool) {
+    pub fn record_load_end(&mut self, now: Instant, target: &Target, ok: bool) {
         let Some(adapter) = self.adapters.get_mut(target) else { return };
         let Phase::Loading { since } = adapter.phase else { return };
         if ok {
@@ -219,14 +219,14 @@
     }
 
     /// Withdraws a load that was not ordered, as no request waits for it any more.
-    pub fn not_loaded(&mut self, target: &Target) {
+    pub fn cancel_load(&mut self, target: &Target) {
         if self.adapters.get(target).is_some_and(Residency::is_loading) {
             self.adapters.remove(target);
         }
     }
 
     /// Records the end of an unload; after a failed one the adapter stays resident.
-    pub fn unloaded(&mut self, now: Instant, target: &Target, ok: bool) {
+    pub fn record_unload_end(&mut self, now: Instant, target: &Target, ok: bool) {
         let Some(adapter) = self.adapters.get_mut(target) else { return };
         if adapter.phase != Phase::Unloading {
             return;
@@ -238,12 +238,12 @@
         if let Some(adapter) = self.adapters.remove(target) {
             self.keep_uses(now, target, adapter.uses);
         }
-        self.copies.leave(target.hash());
-        self.unloaded.insert(target.clone(), now);
+        self.copies.record_unload(target.hash());
+        self.record_unload_end.insert(target.clone(), now);
     }
 
     /// Records that the engine does not hold an adapter that was believed resident.
-    pub fn lost(&mut self, target: &Target) {
+    pub fn record_missing_adapter(&mut self, target: &Target) {
         let resident = self.adapters.get(target).is_some_and(|a| a.is_resident());
         if resident {
             self.adapters.remove(target);
@@ -255,34 +255,40 @@
     /// A new run holds only the adapters that it reports. Reports of the same run are
     /// delayed, so they only add adapters; a missing adapter is detected when a request
     /// is sent.
-    pub fn engine_is(&mut self, now: Instant, run: &Incarnation, holds: &[Held]) {
+    pub fn apply_delayed_report(
+        &mut self,
+        now: Instant,
+        run: &Incarnation,
+        holds: &[ReportedAdapter],
+    ) {
         self.reachable = true;
-        let settle = self.limits.settle;
+        let settle = self.limits.initial_no_unload;
         self.unloads_allowed_at.get_or_insert(now + settle);
         if self.incarnation.as_ref() != Some(run) {
             self.incarnation = Some(run.clone());
             self.adapters.clear();
         }
-        self.unloaded.retain(|_, at| now.saturating_duration_since(*at) < settle);
+        self.record_unload_end
+            .retain(|_, at| now.saturating_duration_since(*at) < settle);
         for held in holds {
             let known = self.adapters.contains_key(&held.target);
-            if !known && self.unloaded.contains_key(&held.target) {
+            if !known && self.record_unload_end.contains_key(&held.target) {
                 continue;
             }
             let new = || Residency::new(now, Phase::Resident);
             let adapter = self.adapters.entry(held.target.clone()).or_insert_with(new);
-            adapter.other_requests = held.foreign;
+            adapter.other_requests = held.other_requests;
         }
     }
 
     /// Records that the engine could not be reached.
-    pub fn engine_lost(&mut self) {
+    pub fn record_unreachable(&mut self) {
         self.reachable = false;
     }
 
     /// Starts or ends draining. Running requests continue; while draining, waiting
     /// requests are refused.
-    pub fn drain(&mut self, draining: bool) {
+    pub fn set_draining(&mut self, draining: bool) {
         self.draining = draining;
     }
 
@@ -413,7 +419,7 @@
         let mut ids: Vec<_> = self.waiting.keys().copied().collect();
         ids.sort_by_key(|id| {
             let req = &self.waiting[id];
-            (req.priority, req.since, *id)
+            (req.priority, req.arrived_at, *id)
         });
         ids
     }
--- a/crates/larkspring-core/src/slots/fresh.rs
+++ b/crates/larkspring-core/src/slots/fresh.rs
@@ -4,16 +4,16 @@
 use std::time::Instant;
 
 use super::residency::{Phase, Residency};
-use super::{Action, Running, Slots};
+use super::{Action, EngineScheduler, Running};
 use crate::ids::{AttemptId, Incarnation, Target};
 
-impl Slots {
+impl EngineScheduler {
     /// Records a report that is not older than the answer to the last order.
     ///
     /// `is_ordered` returns whether the engine has been asked for a load or unload.
     /// Returns the loads that failed: those that were ordered and are neither resident
     /// nor pending.
-    pub fn engine_is_now(
+    pub fn apply_current_report(
         &mut self,
         now: Instant,
         run: &Incarnation,
@@ -41,16 +41,16 @@
         for target in &removed {
             if let Some(adapter) = self.adapters.remove(target) {
                 self.keep_uses(now, target, adapter.uses);
-                self.copies.leave(target.hash());
+                self.copies.record_unload(target.hash());
             }
         }
         for target in &failed {
-            self.loaded(now, target, false);
+            self.record_load_end(now, target, false);
         }
         for target in holds {
             let new = || Residency::new(now, Phase::Resident);
             self.adapters.entry(target.clone()).or_insert_with(new);
-            self.loaded(now, target, true);
+            self.record_load_end(now, target, true);
         }
         for target in pending {
             let new = || Residency::new(now, Phase::Loading { since: now });
@@ -64,7 +64,7 @@
     /// The duration of the load is counted from here. The wait for the order is not
     /// caused by the weight store; if included, the store would look overloaded and later
     /// loads would be held back.
-    pub fn load_ordered(&mut self, now: Instant, target: &Target) {
+    pub fn record_load_order(&mut self, now: Instant, target: &Target) {
         let Some(adapter) = self.adapters.get_mut(target) else { return };
         if adapter.is_loading() {
             adapter.phase = Phase::Loading { since: now };
@@ -73,7 +73,12 @@
 
     /// Records a request that is already running and uses an adapter, as after a restart
     /// of this agent. Returns false if the engine does not hold the adapter.
-    pub fn adopt(&mut self, now: Instant, id: AttemptId, target: &Target) -> bool {
+    pub fn adopt_running(
+        &mut self,
+        now: Instant,
+        id: AttemptId,
+        target: &Target,
+    ) -> bool {
         let Some(adapter) = self.adapters.get_mut(target) else { return false };
         adapter.pins += 1;
         adapter.last_used = now;
@@ -85,7 +90,7 @@
 
     /// Records that the engine is still loading its base model: requests wait and no
     /// adapters are loaded.
-    pub fn engine_fills(&mut self, run: &Incarnation) {
+    pub fn record_base_loading(&mut self, run: &Incarnation) {
         self.set_run(run);
         self.reachable = true;
         self.loads_paused = true;
@@ -101,26 +106,26 @@
     }
 
     /// Sets the number of adapter slots.
-    pub fn set_places(&mut self, places: usize) {
-        self.limits.slots = places;
+    pub fn set_adapter_slots(&mut self, places: usize) {
+        self.limits.adapter_slots = places;
     }
 
     /// Adapters that could be loaded without waiting for a request to end, in addition to
     /// those that requests wait for.
-    pub fn free_places(&self) -> usize {
+    pub fn free_adapter_slots(&self) -> usize {
         let idle = |a: &&Residency| a.pins + a.other_requests == 0 && !a.is_loading();
         let idle = self.adapters.values().filter(idle).count();
-        let empty = self.limits.slots.saturating_sub(self.adapters.len());
+        let empty = self.limits.adapter_slots.saturating_sub(self.adapters.len());
         (empty + idle).saturating_sub(self.missing_adapters() as usize)
     }
 
     /// Loads that requests wait for and that are not ordered yet.
-    pub fn loads_ahead(&self) -> usize {
+    pub fn queued_loads(&self) -> usize {
         self.missing_adapters() as usize
     }
 
     /// The resident adapters, and those being loaded.
-    pub fn held(&self) -> (Vec<&Target>, Vec<&Target>) {
+    pub fn resident_and_loading(&self) -> (Vec<&Target>, Vec<&Target>) {
         let resident = self.adapters.iter().filter(|(_, a)| a.phase == Phase::Resident);
         let loading = self.adapters.iter().filter(|(_, a)| a.is_loading());
         (resident.map(|(t, _)| t).collect(), loading.map(|(t, _)| t).collect())
--- a/crates/larkspring-core/src/slots/limits.rs
+++ b/crates/larkspring-core/src/slots/limits.rs
@@ -4,9 +4,9 @@
 
 /// Limits of one engine.
 #[derive(Debug, Clone)]
-pub struct Limits {
+pub struct EngineLimits {
     /// Adapter slots of the engine.
-    pub slots: usize,
+    pub adapter_slots: usize,
     /// Requests that run in the engine concurrently.
     pub max_running: usize,
     /// Requests that may wait.
@@ -15,16 +15,16 @@
     pub max_loading: usize,
     /// Whether fetches wait while the weight store is overloaded. Disabled where all
     /// agents share a budget for loads.
-    pub paced: bool,
+    pub limits_fetches: bool,
     /// Wait after which a request may block new uses of a busy adapter to get its slot.
-    pub patience: Duration,
+    pub busy_eviction_delay: Duration,
     /// Time after the agent's start during which no adapter is unloaded, as the engine's
     /// reports are delayed.
-    pub settle: Duration,
+    pub initial_no_unload: Duration,
     /// The eviction policy.
-    pub eviction: Eviction,
+    pub eviction: EvictionPolicy,
     /// The order of loads.
-    pub order: LoadOrder,
+    pub load_order: LoadOrder,
 }
 
 /// Selects which of the adapters that requests wait for is loaded first.
@@ -33,23 +33,23 @@
     /// The adapter of the most urgent request.
     Urgency,
     /// The adapter whose load increases the total utility of the answers most.
-    Worth,
+    Utility,
 }
 
 /// Selects which of the unused adapters is evicted first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Eviction {
+pub enum EvictionPolicy {
     /// The adapter with the lowest use count, in which older uses weigh less.
-    Heat,
+    LeastUsed,
     /// The least recently used adapter; a baseline.
     Lru,
 }
 
-impl Eviction {
+impl EvictionPolicy {
     /// Parses the name used in settings.
     pub fn parse(name: &str) -> Option<Self> {
         match name {
-            "" | "heat" => Some(Self::Heat),
+            "" | "heat" => Some(Self::LeastUsed),
             "lru" => Some(Self::Lru),
             _ => None,
         }
--- a/crates/larkspring-core/src/slots/loads.rs
+++ b/crates/larkspring-core/src/slots/loads.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use super::residency::{Phase, Residency, UseCount};
-use super::{Action, Eviction, LoadOrder, Slots, Waiting};
+use super::{Action, EngineScheduler, EvictionPolicy, LoadOrder, QueuedRequest};
 use crate::ids::Target;
 
 /// Maximum number of adapters that are not resident and whose use counts are kept.
@@ -13,15 +13,15 @@
 /// reached.
 const MIN_PAST_USES: f64 = 0.5;
 
-impl Slots {
+impl EngineScheduler {
     /// Loads the adapters that the most urgent requests wait for.
     pub(super) fn schedule_loads(&mut self, now: Instant, actions: &mut Vec<Action>) {
         if self.loads_paused {
             return;
         }
-        let order = match self.limits.order {
+        let order = match self.limits.load_order {
             LoadOrder::Urgency => self.by_urgency(),
-            LoadOrder::Worth => self.by_utility(now),
+            LoadOrder::Utility => self.by_utility(now),
         };
         for id in order {
             let loading = self.adapters.values().filter(|a| a.is_loading()).count();
@@ -38,7 +38,7 @@
             if self.evict_other_version(&req.target, actions) {
                 continue;
             }
-            if self.adapters.len() < self.limits.slots {
+            if self.adapters.len() < self.limits.adapter_slots {
                 let mut loading = Residency::new(now, Phase::Loading { since: now });
                 if let Some(uses) = self.past_uses.remove(&req.target) {
                     loading.uses = uses;
@@ -55,7 +55,7 @@
     /// Whether a fetch of `target` may begin now. A load from a host-memory copy needs no
     /// fetch.
     fn may_fetch(&mut self, now: Instant, target: &Target) -> bool {
-        if !self.limits.paced || self.copies.contains(target.hash()) {
+        if !self.limits.limits_fetches || self.copies.contains(target.hash()) {
             return true;
         }
         let copies = &self.copies;
@@ -78,7 +78,12 @@
 
     /// Evicts an adapter for `req`, or marks one for eviction, unless an eviction is in
     /// progress.
-    fn free_slot(&mut self, now: Instant, req: &Waiting, actions: &mut Vec<Action>) {
+    fn free_slot(
+        &mut self,
+        now: Instant,
+        req: &QueuedRequest,
+        actions: &mut Vec<Action>,
+    ) {
         let freeing = |a: &Residency| matches!(a.phase, Phase::Unloading);
         let may_unload = self.unloads_allowed_at.is_some_and(|at| at <= now);
         if !may_unload || self.adapters.values().any(freeing) {
@@ -90,7 +95,10 @@
             return;
         }
         let retiring = self.adapters.values().any(|a| a.phase == Phase::Retiring);
-        if retiring || now.saturating_duration_since(req.since) < self.limits.patience {
+        if retiring
+            || now.saturating_duration_since(req.arrived_at)
+                < self.limits.busy_eviction_delay
+        {
             return;
         }
         if let Some(evicted) = self.least_used(now, |a| a.phase == Phase::Resident) {
@@ -108,8 +116,8 @@
             self.adapters.iter().filter(|(_, a)| a.is_resident() && is_candidate(a));
         let least = candidates.min_by(|(t1, a1), (t2, a2)| {
             let by_uses = match self.limits.eviction {
-                Eviction::Heat => a1.uses.at(now).total_cmp(&a2.uses.at(now)),
-                Eviction::Lru => Ordering::Equal,
+                EvictionPolicy::LeastUsed => a1.uses.at(now).total_cmp(&a2.uses.at(now)),
+                EvictionPolicy::Lru => Ordering::Equal,
             };
             by_uses.then(a1.last_used.cmp(&a2.last_used)).then(t1.cmp(t2))
         });
--- a/crates/larkspring-core/src/slots/order.rs
+++ b/crates/larkspring-core/src/slots/order.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use super::{Slots, Waiting};
+use super::{EngineScheduler, QueuedRequest};
 use crate::fleet::worth;
 use crate::ids::{AttemptId, Target};
 
@@ -24,7 +24,7 @@
 /// utility.
 const MIN_LOAD_TIME: Duration = Duration::from_millis(100);
 
-impl Slots {
+impl EngineScheduler {
     /// Returns one waiting request for each adapter, starting with the adapter whose load
     /// gives the highest total utility.
     ///
@@ -35,11 +35,14 @@
     pub(super) fn by_utility(&self, now: Instant) -> Vec<AttemptId> {
         let mut candidates: HashMap<&Target, LoadCandidate> = HashMap::new();
         for (id, req) in &self.waiting {
-            let new =
-                || LoadCandidate { utility: 0.0, soft_deadline: req.due, first: *id };
+            let new = || LoadCandidate {
+                utility: 0.0,
+                soft_deadline: req.soft_deadline,
+                first: *id,
+            };
             let adapter = candidates.entry(&req.target).or_insert_with(new);
             adapter.utility += utility_at(req, now);
-            adapter.soft_deadline = adapter.soft_deadline.min(req.due);
+            adapter.soft_deadline = adapter.soft_deadline.min(req.soft_deadline);
             adapter.first = adapter.first.min(*id);
         }
         let mut order: Vec<_> = candidates.into_values().collect();
@@ -57,7 +60,7 @@
     }
 }
 
-fn utility_at(req: &Waiting, now: Instant) -> f64 {
-    let in_time = now + MIN_LOAD_TIME <= req.due;
-    req.worth * if in_time { 1.0 } else { worth::LATE }
+fn utility_at(req: &QueuedRequest, now: Instant) -> f64 {
+    let in_time = now + MIN_LOAD_TIME <= req.soft_deadline;
+    req.utility * if in_time { 1.0 } else { worth::LATE_FACTOR }
 }
--- a/crates/larkspring-core/src/tenure.rs
+++ b/crates/larkspring-core/src/tenure.rs
@@ -21,66 +21,76 @@
 
 /// Durations that tenures depend on.
 #[derive(Debug, Clone, Copy)]
-pub struct Terms {
+pub struct TenureSettings {
     /// How far ahead a range of births reaches.
     pub lease: Duration,
     /// Shortest time for which a key without a birth is kept.
     pub retention: Duration,
     /// Largest difference between two clocks.
-    pub skew: Duration,
+    pub max_clock_skew: Duration,
 }
 
 /// Whether the holder's records of a key are complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum RecordStatus {
     /// The holder has a record of each attempt at the key.
-    Known,
+    Complete,
     /// An earlier holder may have granted attempts of which the holder has no record.
-    Lost,
-    /// As `Lost` until the given time, and as `Known` from then on.
-    LostUntil(Millis),
+    Incomplete,
+    /// As `Incomplete` until the given time, and as `Complete` from then on.
+    IncompleteUntil(Millis),
     /// The holder does not hold the key yet, or no longer.
-    Foreign,
+    NotHeld,
 }
 
 /// Knowledge of a candidate about the present holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Holder {
+pub enum HolderState {
     /// The holder may still act.
-    MayLive,
+    MayBeRunning,
     /// It was proved that the holder's run has ended.
     Ended,
 }
 
 /// Returns whether the holder of `t` has complete records of a key; `birth` is 0 for a
 /// key without a birth.
-pub fn standing(t: &Tenure, terms: &Terms, now: Millis, birth: Millis) -> Standing {
+pub fn record_status(
+    t: &Tenure,
+    terms: &TenureSettings,
+    now: Millis,
+    birth: Millis,
+) -> RecordStatus {
     if birth == 0 {
         return record_status_without_birth(t, terms, now);
     }
-    let retention_over = birth + millis(terms.retention) <= now + millis(terms.skew);
+    let retention_over =
+        birth + millis(terms.retention) <= now + millis(terms.max_clock_skew);
     if birth < t.from_ms || retention_over {
-        return Standing::Lost;
+        return RecordStatus::Incomplete;
     }
     // A successor that proves the holder's end starts at births past this bound.
-    let bound = t.until_ms.min(now + millis(terms.skew));
+    let bound = t.until_ms.min(now + millis(terms.max_clock_skew));
     match birth < bound {
-        true => Standing::Known,
-        false => Standing::Foreign,
+        true => RecordStatus::Complete,
+        false => RecordStatus::NotHeld,
     }
 }
 
-fn record_status_without_birth(t: &Tenure, terms: &Terms, now: Millis) -> Standing {
+fn record_status_without_birth(
+    t: &Tenure,
+    terms: &TenureSettings,
+    now: Millis,
+) -> RecordStatus {
     if now >= t.until_ms {
-        return Standing::Foreign;
+        return RecordStatus::NotHeld;
     }
     let known_from = match t.since_ms {
         0 => 0,
         since => since + millis(terms.retention),
     };
     match now >= known_from {
-        true => Standing::Known,
-        false => Standing::LostUntil(known_from),
+        true => RecordStatus::Complete,
+        false => RecordStatus::IncompleteUntil(known_from),
     }
 }
 
@@ -88,11 +98,11 @@
 pub fn takeover(
     old: &Tenure,
     me: &Tenure,
-    holder: Holder,
-    terms: &Terms,
+    holder: HolderState,
+    terms: &TenureSettings,
     now: Millis,
 ) -> Option<Tenure> {
-    let skew = millis(terms.skew);
+    let skew = millis(terms.max_clock_skew);
     let never_held = old.holder.is_empty();
     let expired = now >= old.until_ms + skew;
     let (from_ms, since_ms) = match holder {
@@ -100,8 +110,8 @@
         _ if expired => (old.until_ms, now),
         // The old holder granted births up to the skew past its clock, and its clock may
         // be ahead by the skew as well.
-        Holder::Ended => (now + 2 * skew, now),
-        Holder::MayLive => return None,
+        HolderState::Ended => (now + 2 * skew, now),
+        HolderState::MayBeRunning => return None,
     };
     let until_ms = now + millis(terms.lease);
     Some(Tenure { from_ms, since_ms, until_ms, ..me.clone() })
@@ -114,7 +124,7 @@
 }
 
 /// Returns the tenure with an extended range, if a renewal is due.
-pub fn renewal(t: &Tenure, terms: &Terms, now: Millis) -> Option<Tenure> {
+pub fn renewal(t: &Tenure, terms: &TenureSettings, now: Millis) -> Option<Tenure> {
     let lease = millis(terms.lease);
     let due = t.until_ms < now + lease - lease / RENEWALS_PER_LEASE;
     // An expired tenure may be taken over by any entry, including its holder.
--- a/crates/larkspring-core/src/workspaces.rs
+++ b/crates/larkspring-core/src/workspaces.rs
@@ -12,7 +12,7 @@
 /// All workspaces of one version of the declared state, indexed by their keys.
 #[derive(Clone, PartialEq, Default)]
 pub struct Workspaces {
-    by_key: HashMap<KeyHash, Arc<Workspace>>,
+    by_key: HashMap<ApiKeyHash, Arc<Workspace>>,
     count: usize,
 }
 
@@ -25,23 +25,23 @@
     /// the most urgent.
     pub priority: Option<u32>,
     /// Limit over all entries together; `None` for no limit.
-    pub limit: Option<Limit>,
+    pub limit: Option<WorkspaceLimit>,
 }
 
 /// Rate limit of a workspace over all entries together.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Limit {
+pub struct WorkspaceLimit {
     /// Rate, in units a second.
-    pub per_sec: f64,
+    pub units_per_sec: f64,
     /// Units that may be used at once on top of the rate, after an idle time.
     pub burst: f64,
     /// The unit of the figures.
-    pub unit: Unit,
+    pub unit: LimitUnit,
 }
 
 /// Unit of a limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Unit {
+pub enum LimitUnit {
     /// Requests, each counted as one unit.
     Requests,
     /// Tokens of prompt and answer.
@@ -51,12 +51,12 @@
     },
 }
 
-impl Limit {
+impl WorkspaceLimit {
     /// Returns the units counted for a request with `tokens` in its prompt and answer.
     pub fn cost(&self, tokens: Option<u64>) -> f64 {
         match self.unit {
-            Unit::Requests => 1.0,
-            Unit::Tokens { unsized_request } => {
+            LimitUnit::Requests => 1.0,
+            LimitUnit::Tokens { unsized_request } => {
                 tokens.map_or(unsized_request, |n| n as f64)
             }
         }
@@ -65,16 +65,16 @@
 
 /// SHA-256 of a caller's key; the key itself is not stored.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
-pub struct KeyHash([u8; 32]);
+pub struct ApiKeyHash([u8; 32]);
 
-impl KeyHash {
+impl ApiKeyHash {
     /// Hashes a key.
     pub fn of(key: &[u8]) -> Self {
         Self(Sha256::digest(key).into())
     }
 }
 
-impl Debug for KeyHash {
+impl Debug for ApiKeyHash {
     /// Keeps the hash, which identifies a key, out of logs and panic messages.
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         f.write_str("KeyHash(..)")
@@ -89,7 +89,7 @@
     /// More than one key, or a value that can't be a key.
     Malformed,
     /// A single key.
-    Key(KeyHash),
+    Key(ApiKeyHash),
 }
 
 quick_error! {
@@ -118,9 +118,9 @@
 impl Workspaces {
     /// Checks and indexes workspaces, each with the hashes of its keys.
     pub fn new(
-        declared: impl IntoIterator<Item = (Workspace, Vec<KeyHash>)>,
+        declared: impl IntoIterator<Item = (Workspace, Vec<ApiKeyHash>)>,
     ) -> Result<Self, WorkspaceError> {
-        let empty = KeyHash::of(b"");
+        let empty = ApiKeyHash::of(b"");
         let mut names = HashSet::new();
         let mut by_key: HashMap<_, Arc<Workspace>> = HashMap::new();
         for (workspace, keys) in declared {
@@ -146,7 +146,7 @@
     /// Returns the workspace that a key belongs to.
     ///
     /// The lookup is by hash, so the time that it takes reveals nothing about the key.
-    pub fn find(&self, key: &KeyHash) -> Option<&Arc<Workspace>> {
+    pub fn find(&self, key: &ApiKeyHash) -> Option<&Arc<Workspace>> {
         self.by_key.get(key)
     }
 
@@ -168,11 +168,11 @@
 fn validate_limit(workspace: &Workspace) -> Result<(), WorkspaceError> {
     let Some(limit) = workspace.limit else { return Ok(()) };
     let unsized_request = match limit.unit {
-        Unit::Requests => 0.0,
-        Unit::Tokens { unsized_request } => unsized_request,
+        LimitUnit::Requests => 0.0,
+        LimitUnit::Tokens { unsized_request } => unsized_request,
     };
     let figures = [
-        ("rate", limit.per_sec),
+        ("rate", limit.units_per_sec),
         ("burst", limit.burst),
         ("tokens of a request without a count", unsized_request),
     ];
--- a/crates/larkspring-core/tests/availability.rs
+++ b/crates/larkspring-core/tests/availability.rs
@@ -3,7 +3,9 @@
 
 use std::time::{Duration, Instant};
 
-use larkspring_core::fleet::availability::{Availability, News, Notice, MAX_BACKOFF};
+use larkspring_core::fleet::availability::{
+    Availability, AvailabilityChanges, Notice, MAX_BACKOFF,
+};
 
 /// An event of one run of an endpoint.
 #[derive(Debug, Clone, Copy)]
@@ -44,19 +46,19 @@
     let (mut availability, mut now) = (Availability::default(), Instant::now());
     for step in steps {
         let apply_step = |availability: &mut Availability, notice| {
-            availability.hear(now, now, notice, 0.0)
+            availability.apply_notice(now, now, notice, 0.0)
         };
         match *step {
-            Drain => drop(apply_step(&mut availability, Notice::LEAVING)),
+            Drain => drop(apply_step(&mut availability, Notice::DRAINING)),
             Backoff(secs) => {
                 let rest = Some(Duration::from_secs(secs));
                 apply_step(&mut availability, Notice { rest, ..Notice::default() });
             }
             NoNotice => drop(apply_step(&mut availability, Notice::default())),
-            Listed(start) => availability.listed(start),
+            Listed(start) => availability.record_listed_start(start),
             Renewed => {
                 now += Duration::from_nanos(1);
-                availability.renewed(now);
+                availability.clear_before(now);
             }
             Wait(secs) => now += Duration::from_secs(secs),
         }
@@ -65,8 +67,8 @@
 }
 
 fn state_of(availability: &Availability, now: Instant) -> State {
-    match availability.rests_for(now) {
-        _ if availability.leaves() => State::Draining,
+    match availability.remaining_backoff(now) {
+        _ if availability.is_draining() => State::Draining,
         Some(left) => State::BackingOff(left.as_secs_f64().round() as u64),
         None => State::Open,
     }
@@ -130,13 +132,20 @@
     let mut availability = Availability::default();
     let backoff = Notice { rest: Some(Duration::from_secs(2)), ..Notice::default() };
     assert_eq!(
-        availability.hear(now, now, backoff, 0.0),
-        News { rests: true, ..News::default() }
+        availability.apply_notice(now, now, backoff, 0.0),
+        AvailabilityChanges { backoff: true, ..AvailabilityChanges::default() }
+    );
+    assert_eq!(
+        availability.apply_notice(now, now, backoff, 1.0),
+        AvailabilityChanges::default()
+    );
+    let draining =
+        AvailabilityChanges { draining: true, ..AvailabilityChanges::default() };
+    assert_eq!(availability.apply_notice(now, now, Notice::DRAINING, 0.0), draining);
+    assert_eq!(
+        availability.apply_notice(now, now, Notice::DRAINING, 0.0),
+        AvailabilityChanges::default()
     );
-    assert_eq!(availability.hear(now, now, backoff, 1.0), News::default());
-    let draining = News { leaves: true, ..News::default() };
-    assert_eq!(availability.hear(now, now, Notice::LEAVING, 0.0), draining);
-    assert_eq!(availability.hear(now, now, Notice::LEAVING, 0.0), News::default());
 }
 
 /// VMs return one after the other: none before the end of the backoff, all soon after.
@@ -147,8 +156,8 @@
     let backoff_ends = [0.0, 0.25, 0.5, 1.0].map(|share| {
         let mut availability = Availability::default();
         let notice = Notice { rest: Some(backoff), ..Notice::default() };
-        availability.hear(now, now, notice, share);
-        availability.rests_for(now).unwrap()
+        availability.apply_notice(now, now, notice, share);
+        availability.remaining_backoff(now).unwrap()
     });
     assert!(
         backoff_ends.is_sorted()
--- a/crates/larkspring-core/tests/budget.rs
+++ b/crates/larkspring-core/tests/budget.rs
@@ -2,12 +2,12 @@
 
 use std::time::{Duration, Instant};
 
-use larkspring_core::budget::{Budget, BudgetLimits};
+use larkspring_core::budget::{LoadBudget, LoadBudgetLimits};
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn budget(rate: f64, concurrency: usize) -> Budget {
-    Budget::new(BudgetLimits { rate, concurrency })
+fn budget(rate: f64, concurrency: usize) -> LoadBudget {
+    LoadBudget::new(LoadBudgetLimits { rate, concurrency })
 }
 
 #[test]
@@ -26,7 +26,7 @@
         let mut budget = budget(case.rate, case.concurrency);
         let start = Instant::now();
         for n in 0..200 {
-            budget.ask(start, format!("{n:03}"), 5, 1);
+            budget.request(start, format!("{n:03}"), 5, 1);
         }
         let mut granted = 0;
         for step in 0..=case.seconds * 100 {
@@ -45,7 +45,7 @@
     let mut budget = budget(100.0, 2);
     let start = Instant::now();
     for load in ["a", "b", "c"] {
-        budget.ask(start, load.into(), 5, 1);
+        budget.request(start, load.into(), 5, 1);
     }
     assert_eq!(budget.grant(start), ["a", "b"]);
     assert!(budget.grant(start + SECOND).is_empty());
@@ -57,9 +57,9 @@
 fn load_of_a_dead_agent_times_out() {
     let mut budget = budget(100.0, 1);
     let start = Instant::now();
-    budget.ask(start, "dead".into(), 5, 1);
+    budget.request(start, "dead".into(), 5, 1);
     assert_eq!(budget.grant(start), ["dead"]);
-    budget.ask(start, "next".into(), 5, 1);
+    budget.request(start, "next".into(), 5, 1);
     assert!(budget.grant(start + SECOND * 29).is_empty());
     assert_eq!(budget.grant(start + SECOND * 30), ["next"]);
 }
@@ -83,9 +83,9 @@
         let mut budget = budget(1.0, 1);
         let now = Instant::now() + SECOND * 100;
         let (priority, waiting, age) = case.second;
-        budget.ask(now - SECOND * age, "second".into(), priority, waiting);
+        budget.request(now - SECOND * age, "second".into(), priority, waiting);
         let (priority, waiting, age) = case.first;
-        budget.ask(now - SECOND * age, "first".into(), priority, waiting);
+        budget.request(now - SECOND * age, "first".into(), priority, waiting);
         assert_eq!(budget.grant(now), ["first"], "{}", case.name);
     }
 }
@@ -94,22 +94,22 @@
 fn next_check_is_in_the_future() {
     let mut budget = budget(8.0, 2);
     let start = Instant::now();
-    assert_eq!(budget.next(start), None);
+    assert_eq!(budget.next_check(start), None);
     for load in ["a", "b", "c"] {
-        budget.ask(start, load.into(), 5, 1);
+        budget.request(start, load.into(), 5, 1);
     }
     assert_eq!(budget.grant(start).len(), 2);
     // The rate would allow another load, but two are in progress: until one of them ends,
     // the next check is their time-out.
     let later = start + SECOND;
     assert!(budget.grant(later).is_empty());
-    assert_eq!(budget.next(later), Some(start + SECOND * 30));
+    assert_eq!(budget.next_check(later), Some(start + SECOND * 30));
     budget.done("a");
     budget.done("b");
     assert_eq!(budget.grant(later).len(), 1);
     budget.done("c");
-    budget.ask(later, "d".into(), 5, 1);
-    budget.ask(later, "e".into(), 5, 1);
+    budget.request(later, "d".into(), 5, 1);
+    budget.request(later, "e".into(), 5, 1);
     assert_eq!(budget.grant(later).len(), 1);
-    assert!(budget.next(later).is_some_and(|at| at > later));
+    assert!(budget.next_check(later).is_some_and(|at| at > later));
 }
--- a/crates/larkspring-core/tests/call_time.rs
+++ b/crates/larkspring-core/tests/call_time.rs
@@ -2,10 +2,12 @@
 
 use std::time::Duration;
 
-use larkspring_core::call_time::{CallBounds, CallTime};
+use larkspring_core::call_time::{CallTimeout, TimeoutBounds};
 
-const BOUNDS: CallBounds =
-    CallBounds { least: Duration::from_millis(30), most: Duration::from_millis(250) };
+const BOUNDS: TimeoutBounds = TimeoutBounds {
+    shortest: Duration::from_millis(30),
+    longest: Duration::from_millis(250),
+};
 
 #[derive(Clone, Copy)]
 enum Call {
@@ -44,13 +46,13 @@
         },
     ];
     for c in cases {
-        let mut timeout = CallTime::new(BOUNDS);
+        let mut timeout = CallTimeout::new(BOUNDS);
         for call in c.calls {
             match call {
-                Answered(ms) => timeout.answered(Duration::from_millis(ms)),
-                Lost => timeout.lost(),
+                Answered(ms) => timeout.record_answer(Duration::from_millis(ms)),
+                Lost => timeout.record_loss(),
             }
         }
-        assert_eq!(timeout.limit().as_millis() as u64, c.limit, "{}", c.name);
+        assert_eq!(timeout.current().as_millis() as u64, c.limit, "{}", c.name);
     }
 }
--- a/crates/larkspring-core/tests/fleet_attempt.rs
+++ b/crates/larkspring-core/tests/fleet_attempt.rs
@@ -1,20 +1,22 @@
 //! Tests of the next step for each end of an attempt.
 
-use larkspring_core::fleet::attempt::{next, AttemptEnd, History, Next, MAX_ATTEMPTS};
+use larkspring_core::fleet::attempt::{
+    next_step, AttemptHistory, AttemptStatus, NextStep, MAX_ATTEMPTS,
+};
 use larkspring_core::fleet::routes::RouteClass;
 
-const ENDS: [AttemptEnd; 6] = [
-    AttemptEnd::Unsent,
-    AttemptEnd::Rejected,
-    AttemptEnd::Moved,
-    AttemptEnd::Lacking,
-    AttemptEnd::Failed,
-    AttemptEnd::Unclear,
+const ENDS: [AttemptStatus; 6] = [
+    AttemptStatus::Unsent,
+    AttemptStatus::Rejected,
+    AttemptStatus::EndpointReplaced,
+    AttemptStatus::AdapterMissing,
+    AttemptStatus::EndpointError,
+    AttemptStatus::Unknown,
 ];
 
 const CLASSES: [RouteClass; 4] = [
-    RouteClass::Repeatable,
-    RouteClass::Once,
+    RouteClass::Retryable,
+    RouteClass::AtMostOnce,
     RouteClass::Stream { resumable: true },
     RouteClass::Stream { resumable: false },
 ];
@@ -22,144 +24,187 @@
 struct Case {
     name: &'static str,
     class: RouteClass,
-    end: AttemptEnd,
-    history: History,
+    end: AttemptStatus,
+    history: AttemptHistory,
     max_endpoints: u32,
     budget: bool,
-    next: Next,
+    next: NextStep,
 }
 
-const FIRST: History = History { may_have_run: false, endpoints: 1, attempts: 1 };
-const RAN: History = History { may_have_run: true, endpoints: 1, attempts: 1 };
-const BOTH: History = History { may_have_run: false, endpoints: 2, attempts: 2 };
-const ONCE: RouteClass = RouteClass::Once;
-const SAFE: RouteClass = RouteClass::Repeatable;
+const FIRST: AttemptHistory =
+    AttemptHistory { may_have_run: false, endpoints: 1, attempts: 1 };
+const RAN: AttemptHistory =
+    AttemptHistory { may_have_run: true, endpoints: 1, attempts: 1 };
+const BOTH: AttemptHistory =
+    AttemptHistory { may_have_run: false, endpoints: 2, attempts: 2 };
+const ONCE: RouteClass = RouteClass::AtMostOnce;
+const SAFE: RouteClass = RouteClass::Retryable;
 const PLAIN_STREAM: RouteClass = RouteClass::Stream { resumable: false };
 const RESUMABLE: RouteClass = RouteClass::Stream { resumable: true };
 
 #[test]
 fn each_attempt_end_has_its_next_step() {
     let cases = [
-        ("once, nothing sent", ONCE, AttemptEnd::Unsent, FIRST, 1, true, Next::Elsewhere),
+        (
+            "once, nothing sent",
+            ONCE,
+            AttemptStatus::Unsent,
+            FIRST,
+            1,
+            true,
+            NextStep::RetryElsewhere,
+        ),
         (
             "once, rejected, one endpoint allowed",
             ONCE,
-            AttemptEnd::Rejected,
+            AttemptStatus::Rejected,
             FIRST,
             1,
             true,
-            Next::Refuse,
+            NextStep::Refuse,
         ),
         (
             "once, rejected, two endpoints allowed",
             ONCE,
-            AttemptEnd::Rejected,
+            AttemptStatus::Rejected,
             FIRST,
             2,
             true,
-            Next::Elsewhere,
+            NextStep::RetryElsewhere,
         ),
         (
             "once, rejected, no budget",
             ONCE,
-            AttemptEnd::Rejected,
+            AttemptStatus::Rejected,
             FIRST,
             2,
             false,
-            Next::Refuse,
+            NextStep::Refuse,
+        ),
+        (
+            "once, endpoint gone",
+            ONCE,
+            AttemptStatus::EndpointReplaced,
+            FIRST,
+            1,
+            true,
+            NextStep::RetryElsewhere,
+        ),
+        ("once, no answer", ONCE, AttemptStatus::Unknown, FIRST, 2, true, NextStep::Fail),
+        (
+            "once, failed there",
+            ONCE,
+            AttemptStatus::EndpointError,
+            FIRST,
+            2,
+            true,
+            NextStep::ForwardAnswer,
         ),
-        ("once, endpoint gone", ONCE, AttemptEnd::Moved, FIRST, 1, true, Next::Elsewhere),
-        ("once, no answer", ONCE, AttemptEnd::Unclear, FIRST, 2, true, Next::Fail),
-        ("once, failed there", ONCE, AttemptEnd::Failed, FIRST, 2, true, Next::Deliver),
         (
             "stream, adapter missing",
             PLAIN_STREAM,
-            AttemptEnd::Lacking,
+            AttemptStatus::AdapterMissing,
             FIRST,
             1,
             true,
-            Next::Same,
+            NextStep::RetrySame,
         ),
         (
             "stream, adapter missing, no budget",
             PLAIN_STREAM,
-            AttemptEnd::Lacking,
+            AttemptStatus::AdapterMissing,
             FIRST,
             1,
             false,
-            Next::Refuse,
+            NextStep::Refuse,
         ),
         (
             "stream, no answer",
             PLAIN_STREAM,
-            AttemptEnd::Unclear,
+            AttemptStatus::Unknown,
             FIRST,
             2,
             true,
-            Next::Fail,
+            NextStep::Fail,
         ),
         (
             "resumable, no answer",
             RESUMABLE,
-            AttemptEnd::Unclear,
+            AttemptStatus::Unknown,
             FIRST,
             2,
             true,
-            Next::Elsewhere,
+            NextStep::RetryElsewhere,
         ),
         (
             "resumable, no answer, no budget",
             RESUMABLE,
-            AttemptEnd::Unclear,
+            AttemptStatus::Unknown,
             FIRST,
             2,
             false,
-            Next::Fail,
+            NextStep::Fail,
         ),
         (
             "resumable, no answer, endpoints used up",
             RESUMABLE,
-            AttemptEnd::Unclear,
+            AttemptStatus::Unknown,
             BOTH,
             2,
             true,
-            Next::Fail,
+            NextStep::Fail,
+        ),
+        (
+            "safe, failed there",
+            SAFE,
+            AttemptStatus::EndpointError,
+            FIRST,
+            2,
+            true,
+            NextStep::RetryElsewhere,
         ),
-        ("safe, failed there", SAFE, AttemptEnd::Failed, FIRST, 2, true, Next::Elsewhere),
         (
             "safe, failed there, no budget",
             SAFE,
-            AttemptEnd::Failed,
+            AttemptStatus::EndpointError,
             FIRST,
             2,
             false,
-            Next::Deliver,
+            NextStep::ForwardAnswer,
+        ),
+        (
+            "safe, failed at both",
+            SAFE,
+            AttemptStatus::EndpointError,
+            BOTH,
+            2,
+            true,
+            NextStep::ForwardAnswer,
         ),
-        ("safe, failed at both", SAFE, AttemptEnd::Failed, BOTH, 2, true, Next::Deliver),
         (
             "safe, ran before, now rejected, no budget",
             SAFE,
-            AttemptEnd::Rejected,
+            AttemptStatus::Rejected,
             RAN,
             2,
             false,
-            Next::Fail,
+            NextStep::Fail,
         ),
         (
             "safe, ran before, now nothing sent",
             SAFE,
-            AttemptEnd::Unsent,
+            AttemptStatus::Unsent,
             RAN,
             2,
             false,
-            Next::Elsewhere,
+            NextStep::RetryElsewhere,
         ),
     ];
     let cases = cases.map(|(name, class, end, history, max_endpoints, budget, next)| {
         Case { name, class, end, history, max_endpoints, budget, next }
     });
     for c in cases {
-        let got = next(c.class, c.end, c.history, c.max_endpoints, || c.budget);
+        let got = next_step(c.class, c.end, c.history, c.max_endpoints, || c.budget);
         assert_eq!(got, c.next, "{}", c.name);
     }
 }
@@ -186,27 +231,32 @@
 
 fn check(
     class: RouteClass,
-    end: AttemptEnd,
+    end: AttemptStatus,
     ran: bool,
     attempts: u32,
     endpoints: u32,
     budget: bool,
 ) {
-    let history = History { may_have_run: ran, endpoints, attempts };
-    let got = next(class, end, history, 2, || budget);
+    let history = AttemptHistory { may_have_run: ran, endpoints, attempts };
+    let got = next_step(class, end, history, 2, || budget);
     let may_have_run = ran || end.may_have_run();
-    let again = matches!(got, Next::Elsewhere | Next::Same);
+    let again = matches!(got, NextStep::RetryElsewhere | NextStep::RetrySame);
     let case = (class, end, history, budget, got);
-    assert!(!(again && may_have_run && !class.may_run_again()), "sent twice: {case:?}");
-    assert!(!(got == Next::Refuse && may_have_run), "false refusal: {case:?}");
+    assert!(!(again && may_have_run && !class.is_retryable()), "sent twice: {case:?}");
+    assert!(!(got == NextStep::Refuse && may_have_run), "false refusal: {case:?}");
     assert!(!(again && attempts >= MAX_ATTEMPTS), "goes on: {case:?}");
-    assert!(!(again && end.arrived() && !budget), "over the budget: {case:?}");
+    assert!(!(again && end.was_received() && !budget), "over the budget: {case:?}");
     let used_up = endpoints >= 2;
-    let counts =
-        matches!(end, AttemptEnd::Rejected | AttemptEnd::Failed | AttemptEnd::Unclear);
+    let counts = matches!(
+        end,
+        AttemptStatus::Rejected | AttemptStatus::EndpointError | AttemptStatus::Unknown
+    );
     assert!(
-        !(got == Next::Elsewhere && counts && used_up),
+        !(got == NextStep::RetryElsewhere && counts && used_up),
         "too many endpoints: {case:?}"
     );
-    assert!(!(got == Next::Deliver && end != AttemptEnd::Failed), "no answer: {case:?}");
+    assert!(
+        !(got == NextStep::ForwardAnswer && end != AttemptStatus::EndpointError),
+        "no answer: {case:?}"
+    );
 }
--- a/crates/larkspring-core/tests/fleet_choose.rs
+++ b/crates/larkspring-core/tests/fleet_choose.rs
@@ -3,42 +3,45 @@
 use std::time::{Duration, Instant};
 
 use larkspring_core::fleet::choose::{
-    copy_pays, for_adapter, for_any, ranked, Holding, View,
+    choose_any, choose_for_adapter, rank_endpoints, should_load_in_hall, AdapterLocation,
+    EndpointView,
 };
-use larkspring_core::fleet::copies::Copies;
-use larkspring_core::fleet::demand::Demand;
-use larkspring_core::fleet::mechanisms::{Mechanism, Without};
-use larkspring_core::fleet::quality::Quality;
+use larkspring_core::fleet::copies::HostCopies;
+use larkspring_core::fleet::demand::RequestRates;
+use larkspring_core::fleet::mechanisms::{DisabledMechanisms, Mechanism};
+use larkspring_core::fleet::quality::EndpointQuality;
 use larkspring_core::ids::{AdapterId, Incarnation};
 
-const RESIDENT: View = View {
+const RESIDENT: EndpointView = EndpointView {
     same_hall: true,
-    holding: Holding::Resident,
+    adapter_location: AdapterLocation::Resident,
     running: 0,
-    slots: 8,
-    free_places: 4,
+    max_concurrent: 8,
+    free_adapter_slots: 4,
     loads_ahead: 0,
     can_load: true,
-    filling: false,
-    prompt_tokens: 100,
-    reading: 0,
-    quality: Duration::ZERO,
+    loading_base: false,
+    uncached_prompt_tokens: 100,
+    prefill_backlog_tokens: 0,
+    failure_cost: Duration::ZERO,
     avoided: false,
-    rated: false,
+    is_rate_limited: false,
 };
-const OTHER_HALL: View = View { same_hall: false, ..RESIDENT };
-const COPIED: View = View { holding: Holding::Copied, ..RESIDENT };
-const ABSENT: View = View { holding: Holding::Absent, ..RESIDENT };
+const OTHER_HALL: EndpointView = EndpointView { same_hall: false, ..RESIDENT };
+const COPIED: EndpointView =
+    EndpointView { adapter_location: AdapterLocation::HostMemory, ..RESIDENT };
+const ABSENT: EndpointView =
+    EndpointView { adapter_location: AdapterLocation::WeightStore, ..RESIDENT };
 
 struct Case {
     name: &'static str,
-    views: Vec<View>,
+    views: Vec<EndpointView>,
     chosen: Option<usize>,
 }
 
 #[test]
 fn adapter_requests_go_to_the_least_cost() {
-    let no_agent = View { can_load: false, ..ABSENT };
+    let no_agent = EndpointView { can_load: false, ..ABSENT };
     let cases = [
         Case { name: "none", views: vec![], chosen: None },
         Case {
@@ -63,27 +66,30 @@
         },
         Case {
             name: "one on its way before a new load",
-            views: vec![ABSENT, View { holding: Holding::Loading, ..RESIDENT }],
+            views: vec![
+                ABSENT,
+                EndpointView { adapter_location: AdapterLocation::Loading, ..RESIDENT },
+            ],
             chosen: Some(1),
         },
         Case {
             name: "a full batch before nobody",
-            views: vec![View { running: 40, ..RESIDENT }],
+            views: vec![EndpointView { running: 40, ..RESIDENT }],
             chosen: Some(0),
         },
         Case {
             name: "a far holder before a full batch",
-            views: vec![View { running: 40, ..RESIDENT }, OTHER_HALL],
+            views: vec![EndpointView { running: 40, ..RESIDENT }, OTHER_HALL],
             chosen: Some(1),
         },
         Case {
             name: "the next home where the first has no place",
-            views: vec![View { free_places: 0, ..ABSENT }, ABSENT],
+            views: vec![EndpointView { free_adapter_slots: 0, ..ABSENT }, ABSENT],
             chosen: Some(1),
         },
         Case {
             name: "the next home where the first has loads ahead",
-            views: vec![View { loads_ahead: 4, ..ABSENT }, ABSENT],
+            views: vec![EndpointView { loads_ahead: 4, ..ABSENT }, ABSENT],
             chosen: Some(1),
         },
         Case {
@@ -93,30 +99,33 @@
         },
         Case {
             name: "a holder without an agent",
-            views: vec![no_agent, View { can_load: false, ..RESIDENT }],
+            views: vec![no_agent, EndpointView { can_load: false, ..RESIDENT }],
             chosen: Some(1),
         },
         Case {
             name: "not one that no connection came up to",
-            views: vec![View { avoided: true, ..RESIDENT }, ABSENT],
+            views: vec![EndpointView { avoided: true, ..RESIDENT }, ABSENT],
             chosen: Some(1),
         },
         Case {
             name: "no load where the rate is limited",
             views: vec![
-                View { rated: true, ..ABSENT },
-                View { loads_ahead: 4, ..ABSENT },
+                EndpointView { is_rate_limited: true, ..ABSENT },
+                EndpointView { loads_ahead: 4, ..ABSENT },
             ],
             chosen: Some(1),
         },
         Case {
             name: "a load there if all are so",
-            views: vec![View { rated: true, ..ABSENT }, View { rated: true, ..ABSENT }],
+            views: vec![
+                EndpointView { is_rate_limited: true, ..ABSENT },
+                EndpointView { is_rate_limited: true, ..ABSENT },
+            ],
             chosen: Some(0),
         },
         Case {
             name: "a holder whose rate is limited",
-            views: vec![ABSENT, View { rated: true, ..RESIDENT }],
+            views: vec![ABSENT, EndpointView { is_rate_limited: true, ..RESIDENT }],
             chosen: Some(1),
         },
         Case {
@@ -131,61 +140,77 @@
         },
         Case {
             name: "a copy on the VM before a holder that is busy",
-            views: vec![View { running: 40, ..RESIDENT }, COPIED],
+            views: vec![EndpointView { running: 40, ..RESIDENT }, COPIED],
             chosen: Some(1),
         },
         Case {
             name: "a busy holder before a fetch, for a short prompt",
-            views: vec![View { running: 7, reading: 14_000, ..RESIDENT }, ABSENT],
+            views: vec![
+                EndpointView { running: 7, prefill_backlog_tokens: 14_000, ..RESIDENT },
+                ABSENT,
+            ],
             chosen: Some(0),
         },
         Case {
             name: "a fetch before a busy holder, for a long prompt",
             views: vec![
-                View { running: 7, reading: 14_000, prompt_tokens: 9000, ..RESIDENT },
-                View { prompt_tokens: 9000, ..ABSENT },
+                EndpointView {
+                    running: 7,
+                    prefill_backlog_tokens: 14_000,
+                    uncached_prompt_tokens: 9000,
+                    ..RESIDENT
+                },
+                EndpointView { uncached_prompt_tokens: 9000, ..ABSENT },
             ],
             chosen: Some(1),
         },
         Case {
             name: "not behind a long prompt",
-            views: vec![View { reading: 9000, ..RESIDENT }, OTHER_HALL],
+            views: vec![
+                EndpointView { prefill_backlog_tokens: 9000, ..RESIDENT },
+                OTHER_HALL,
+            ],
             chosen: Some(1),
         },
         Case {
             name: "a long prompt goes where little runs",
             views: vec![
-                View { running: 6, prompt_tokens: 9000, ..RESIDENT },
-                View { running: 1, prompt_tokens: 9000, ..OTHER_HALL },
+                EndpointView { running: 6, uncached_prompt_tokens: 9000, ..RESIDENT },
+                EndpointView { running: 1, uncached_prompt_tokens: 9000, ..OTHER_HALL },
             ],
             chosen: Some(1),
         },
         Case {
             name: "a short prompt stays near",
             views: vec![
-                View { running: 6, ..RESIDENT },
-                View { running: 1, ..OTHER_HALL },
+                EndpointView { running: 6, ..RESIDENT },
+                EndpointView { running: 1, ..OTHER_HALL },
             ],
             chosen: Some(0),
         },
         Case {
             name: "the one that has read the prompt",
             views: vec![
-                View { prompt_tokens: 6000, ..RESIDENT },
-                View { prompt_tokens: 500, ..RESIDENT },
+                EndpointView { uncached_prompt_tokens: 6000, ..RESIDENT },
+                EndpointView { uncached_prompt_tokens: 500, ..RESIDENT },
             ],
             chosen: Some(1),
         },
     ];
     for c in cases {
-        assert_eq!(for_adapter(&c.views, Without::default()), c.chosen, "{}", c.name);
+        assert_eq!(
+            choose_for_adapter(&c.views, DisabledMechanisms::default()),
+            c.chosen,
+            "{}",
+            c.name
+        );
     }
 }
 
 #[test]
 fn plain_requests_stay_in_the_hall_until_it_costs_more() {
     let answer = Duration::from_millis(30);
-    let busy = |running| View { running, slots: 6, ..RESIDENT };
+    let busy = |running| EndpointView { running, max_concurrent: 6, ..RESIDENT };
     let cases = [
         Case { name: "near", views: vec![OTHER_HALL, RESIDENT], chosen: Some(1) },
         Case {
@@ -202,13 +227,13 @@
             name: "far where near fails",
             views: vec![
                 OTHER_HALL,
-                View { quality: Duration::from_millis(100), ..RESIDENT },
+                EndpointView { failure_cost: Duration::from_millis(100), ..RESIDENT },
             ],
             chosen: Some(0),
         },
     ];
     for c in cases {
-        assert_eq!(for_any(&c.views, answer), c.chosen, "{}", c.name);
+        assert_eq!(choose_any(&c.views, answer), c.chosen, "{}", c.name);
     }
 }
 
@@ -217,7 +242,7 @@
     let ids: Vec<Incarnation> =
         (0..18).map(|n| format!("run-{n}").as_str().into()).collect();
     let home = |target: u64, ids: &[Incarnation]| {
-        ranked(target, ids.to_vec(), |id| id)[0].clone()
+        rank_endpoints(target, ids.to_vec(), |id| id)[0].clone()
     };
     let mut reversed = ids.clone();
     reversed.reverse();
@@ -240,15 +265,15 @@
 
 #[test]
 fn latest_host_copies_are_kept() {
-    let mut copies = Copies::default();
+    let mut copies = HostCopies::default();
     for target in 0..100 {
-        copies.leave(target);
+        copies.record_unload(target);
     }
-    copies.leave(40);
-    let known = |copies: &Copies| (0..100).filter(|t| copies.contains(*t)).count();
+    copies.record_unload(40);
+    let known = |copies: &HostCopies| (0..100).filter(|t| copies.contains(*t)).count();
     assert_eq!(known(&copies), 64, "an adapter that left twice is remembered once");
     assert!(copies.contains(40) && copies.contains(99) && !copies.contains(35));
-    copies.leave(200);
+    copies.record_unload(200);
     assert!(copies.contains(200) && !copies.contains(36), "the oldest makes room");
     copies.clear();
     assert_eq!(known(&copies), 0);
@@ -257,30 +282,30 @@
 #[test]
 fn failures_add_cost_and_decay() {
     let start = Instant::now();
-    let mut quality = Quality::new(start);
-    quality.bad(start);
+    let mut quality = EndpointQuality::new(start);
+    quality.record_failure(start);
     let after_one = quality.failure_share(start);
     assert!(after_one < 0.3, "one failure does not condemn: {after_one}");
     for _ in 0..20 {
-        quality.bad(start);
+        quality.record_failure(start);
     }
     assert!(quality.failure_share(start) > 0.8);
     let later = start + Duration::from_secs(12);
     assert!(quality.failure_share(later) < 0.1, "{}", quality.failure_share(later));
-    quality.no_connection(start);
-    assert!(quality.avoided(start));
-    assert!(!quality.avoided(start + Duration::from_secs(3)));
-    quality.good(start, Duration::from_millis(5));
-    assert!(!quality.avoided(start));
+    quality.record_unreachable(start);
+    assert!(quality.is_avoided(start));
+    assert!(!quality.is_avoided(start + Duration::from_secs(3)));
+    quality.record_success(start, Duration::from_millis(5));
+    assert!(!quality.is_avoided(start));
 }
 
 #[test]
 fn demand_follows_the_rate() {
     let start = Instant::now();
-    let mut demand = Demand::default();
+    let mut demand = RequestRates::default();
     let adapter: AdapterId = "m/a1".into();
     for n in 0..200 {
-        demand.count(start + Duration::from_millis(100 * n), &adapter);
+        demand.record(start + Duration::from_millis(100 * n), &adapter);
     }
     let end = start + Duration::from_secs(20);
     let rate = demand.rate(end, &adapter);
@@ -288,31 +313,31 @@
     let later = demand.rate(end + Duration::from_secs(30), &adapter);
     assert!(later < 0.1, "forgotten: {later}");
     assert_eq!(demand.rate(end, &"m/other".into()), 0.0);
-    assert!(copy_pays(2.0) && !copy_pays(1.0));
+    assert!(should_load_in_hall(2.0) && !should_load_in_hall(1.0));
 }
 
 #[test]
 fn mechanisms_are_disabled_individually() {
-    let off = Without::from_iter([Mechanism::HomeRank, Mechanism::Retiring]);
+    let off = DisabledMechanisms::from_iter([Mechanism::HomeRank, Mechanism::Retiring]);
     let cases = [
         (Mechanism::HomeRank, false),
-        (Mechanism::Copies, true),
+        (Mechanism::HostCopies, true),
         (Mechanism::PacedFetches, true),
         (Mechanism::Retiring, false),
     ];
     for (mechanism, uses) in cases {
-        assert_eq!(off.uses(mechanism), uses, "{mechanism:?}");
-        assert!(Without::default().uses(mechanism), "{mechanism:?}");
+        assert_eq!(off.is_enabled(mechanism), uses, "{mechanism:?}");
+        assert!(DisabledMechanisms::default().is_enabled(mechanism), "{mechanism:?}");
     }
 }
 
 #[test]
 fn without_home_ranks_an_endpoint_in_the_hall_is_preferred() {
-    let far_home = View { same_hall: false, ..ABSENT };
-    let near = View { loads_ahead: 0, ..ABSENT };
+    let far_home = EndpointView { same_hall: false, ..ABSENT };
+    let near = EndpointView { loads_ahead: 0, ..ABSENT };
     // Two ranks cost more than another hall.
     let views = [far_home, far_home, near];
-    let off = Without::from_iter([Mechanism::HomeRank]);
-    assert_eq!(for_adapter(&views, Without::default()), Some(0));
-    assert_eq!(for_adapter(&views, off), Some(2));
+    let off = DisabledMechanisms::from_iter([Mechanism::HomeRank]);
+    assert_eq!(choose_for_adapter(&views, DisabledMechanisms::default()), Some(0));
+    assert_eq!(choose_for_adapter(&views, off), Some(2));
 }
--- a/crates/larkspring-core/tests/fleet_members.rs
+++ b/crates/larkspring-core/tests/fleet_members.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use fastrand::Rng;
-use larkspring_core::fleet::members::{Endpoint, Members, LAPSE_GRACE};
+use larkspring_core::fleet::members::{Endpoint, EndpointList, EXPIRED_LEASE_GRACE};
 use larkspring_core::ids::{StartMs, StorePoint};
 
 fn endpoint(id: &str, leaving: bool) -> Endpoint {
@@ -101,12 +101,12 @@
     ];
     for c in cases {
         let mut now = Instant::now();
-        let mut members = Members::default();
+        let mut members = EndpointList::default();
         for step in c.steps {
-            let keep = |outage: bool| outage.then_some(now + LAPSE_GRACE);
+            let keep = |outage: bool| outage.then_some(now + EXPIRED_LEASE_GRACE);
             match step {
                 Listed(id, leaving) => {
-                    _ = members.put(endpoint(id, *leaving), StorePoint::default());
+                    _ = members.upsert(endpoint(id, *leaving), StorePoint::default());
                 }
                 Missing(id, outage) => members.remove(&(*id).into(), keep(*outage)),
                 List(ids, outage) => {
@@ -191,7 +191,7 @@
         let mut rng = Rng::with_seed(seed);
         let mut store = Store { epoch: 1, ..Store::default() };
         let mut copy = store.clone();
-        let mut members = Members::default();
+        let mut members = EndpointList::default();
         // Runs that were read as draining or, after they had been known, as ended.
         let mut stopped: Vec<(usize, StartMs)> = Vec::new();
         let mut known: [Option<StartMs>; RUNS] = [None; RUNS];
@@ -229,7 +229,7 @@
                 6 => store.write(n),
                 _ => {
                     let restored = members.begin_epoch(store.at());
-                    let keep = restored.then(|| Instant::now() + LAPSE_GRACE);
+                    let keep = restored.then(|| Instant::now() + EXPIRED_LEASE_GRACE);
                     let list = store.list();
                     for (n, known) in known.iter_mut().enumerate() {
                         let is_listed = list.iter().any(|(e, _)| *e.id == *n.to_string());
@@ -284,14 +284,14 @@
     for row in rows {
         let now = Instant::now();
         let after = |ms| now + Duration::from_millis(ms);
-        let mut members = Members::default();
+        let mut members = EndpointList::default();
         assert!(!members.begin_epoch(StorePoint::new(1, 7)));
         members.replace(vec![(endpoint("a", false), StorePoint::new(1, 7))], None);
         assert!(members.begin_epoch(StorePoint::new(2, 5)));
-        members.replace(Vec::new(), Some(now + LAPSE_GRACE));
+        members.replace(Vec::new(), Some(now + EXPIRED_LEASE_GRACE));
         if let Some(ms) = row.again_ms {
             members.expire(after(ms));
-            members.put(endpoint("a", false), StorePoint::new(2, 6));
+            members.upsert(endpoint("a", false), StorePoint::new(2, 6));
         }
         members.expire(after(row.pass_ms));
         assert_eq!(members.endpoints().count() == 1, row.is_kept, "{}", row.name);
--- a/crates/larkspring-core/tests/fleet_reading.rs
+++ b/crates/larkspring-core/tests/fleet_reading.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use larkspring_core::fleet::reading::Unread;
+use larkspring_core::fleet::reading::PrefillBacklog;
 
 struct Case {
     name: &'static str,
@@ -36,16 +36,16 @@
     let start = Instant::now();
     let after = |ms| start + Duration::from_millis(ms);
     for c in cases {
-        let mut backlog = Unread::new(start, 0);
+        let mut backlog = PrefillBacklog::new(start, 0);
         for (at, tokens) in c.sent {
             backlog.add(after(*at), *tokens);
         }
-        let left = backlog.at(after(c.at));
+        let left = backlog.tokens_at(after(c.at));
         assert!(left.abs_diff(c.left) <= 1, "{}: {left}", c.name);
     }
-    let backlog = Unread::new(after(100), 3870);
+    let backlog = PrefillBacklog::new(after(100), 3870);
     assert_eq!(
-        backlog.at(start),
+        backlog.tokens_at(start),
         3870,
         "a clock that a task read earlier changes nothing"
     );
--- a/crates/larkspring-core/tests/fleet_reads.rs
+++ b/crates/larkspring-core/tests/fleet_reads.rs
@@ -3,10 +3,12 @@
 use std::time::Duration;
 
 use fastrand::Rng;
-use larkspring_core::fleet::reads::{AgentPace, Changes, StorePace, MAX_AGENTS};
+use larkspring_core::fleet::reads::{
+    AgentReadTiming, ChangeFrequency, StoreReadTiming, MAX_AGENTS_PER_READ,
+};
 
 const BOUNDS_MS: [u64; 6] = [500, 1000, 2000, 3000, 4000, 10_000];
-const KINDS: [Changes; 2] = [Changes::Seldom, Changes::Often];
+const KINDS: [ChangeFrequency; 2] = [ChangeFrequency::Rare, ChangeFrequency::Continuous];
 
 /// Guards against waits that are each shorter than the bound on a change but exceed it in
 /// total.
@@ -14,17 +16,17 @@
 fn waits_on_each_path_total_less_than_the_bound() {
     for bound in BOUNDS_MS.map(Duration::from_millis) {
         for changes in KINDS {
-            let direct = StorePace::of_entry(bound, changes).worst();
+            let direct = StoreReadTiming::for_entry(bound, changes).max_delay();
             assert!(direct < bound, "{changes:?}: {direct:?} of {bound:?} by the store");
-            let agent = StorePace::of_agent(bound, changes);
-            let healthy = agent.pause + agent.wait;
-            let oldest = AgentPace::of(bound).oldest;
+            let agent = StoreReadTiming::for_agent(bound, changes);
+            let healthy = agent.pause + agent.long_poll;
+            let oldest = AgentReadTiming::new(bound).max_age;
             assert!(
                 healthy < oldest,
                 "{changes:?}: {healthy:?} of {oldest:?} at an agent"
             );
         }
-        let relayed = AgentPace::of(bound).worst();
+        let relayed = AgentReadTiming::new(bound).max_delay();
         assert!(relayed < bound, "{relayed:?} of {bound:?} by agents");
     }
 }
@@ -32,7 +34,7 @@
 /// An entry that reads from agents and, if no agent's answer is recent enough, from the
 /// store. Times in ms.
 struct Follower {
-    pace: AgentPace,
+    pace: AgentReadTiming,
     /// Time of the store's answer on which the entry's state is based.
     store_time: f64,
     now: f64,
@@ -58,31 +60,36 @@
     ///
     /// Every answer takes as long as allowed, and every fault begins at `fault`, when the
     /// store last answered the agents.
-    fn follow(&mut self, agents: [Agent; MAX_AGENTS], fault: f64, change: f64) -> f64 {
+    fn follow(
+        &mut self,
+        agents: [Agent; MAX_AGENTS_PER_READ],
+        fault: f64,
+        change: f64,
+    ) -> f64 {
         loop {
             let age =
                 Duration::from_secs_f64((self.now - self.store_time).max(0.0) / 1e3);
-            let mut wait = ms(self.pace.wait_at(age));
+            let mut wait = ms(self.pace.long_poll_at(age));
             for agent in agents {
                 match agent {
-                    Agent::Paused => self.now += wait + ms(self.pace.answer),
+                    Agent::Paused => self.now += wait + ms(self.pace.answer_timeout),
                     Agent::Healthy | Agent::Stale => {
                         self.now += wait;
                         let store_time =
                             if agent == Agent::Healthy { self.now } else { fault };
-                        if self.now - store_time <= ms(self.pace.oldest) {
+                        if self.now - store_time <= ms(self.pace.max_age) {
                             self.store_time = store_time;
                             break;
                         }
-                        self.now += ms(self.pace.answer);
+                        self.now += ms(self.pace.answer_timeout);
                     }
                 }
                 // Only the first agent is asked to wait for a change.
                 wait = 0.0;
             }
-            let is_recent = self.now - self.store_time <= ms(self.pace.oldest);
+            let is_recent = self.now - self.store_time <= ms(self.pace.max_age);
             if !is_recent {
-                self.now += ms(self.pace.again);
+                self.now += ms(self.pace.store_read_timeout);
                 self.store_time = self.now;
             }
             if self.store_time >= change {
@@ -102,11 +109,11 @@
     let mut worst: f64 = 0.0;
     for series in 0..20_000 {
         let bound = BOUNDS_MS[rng.usize(..BOUNDS_MS.len())];
-        let pace = AgentPace::of(Duration::from_millis(bound));
+        let pace = AgentReadTiming::new(Duration::from_millis(bound));
         let fault = rng.f64() * bound as f64;
         let kinds = [Agent::Healthy, Agent::Stale, Agent::Paused];
         let agents = std::array::from_fn(|_| kinds[rng.usize(..kinds.len())]);
-        let lag = rng.f64() * ms(pace.oldest).min(fault);
+        let lag = rng.f64() * ms(pace.max_age).min(fault);
         let change = fault + rng.f64() * 2.0;
         let mut entry = Follower { pace, store_time: fault - lag, now: fault };
         let known = entry.follow(agents, fault, change);
--- a/crates/larkspring-core/tests/fleet_routes.rs
+++ b/crates/larkspring-core/tests/fleet_routes.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use larkspring_core::fleet::routes::{
-    BaseModel, CallerBounds, Engine, Route, RouteClass, RouteTarget, Routing,
+    BaseModel, EngineCapacity, RequestLimits, Route, RouteClass, RouteTarget, Routing,
 };
 
 fn route(host: &str, prefix: &str) -> Route {
@@ -11,13 +11,13 @@
         name: prefix.into(),
         host: host.into(),
         prefix: prefix.into(),
-        class: RouteClass::Once,
+        class: RouteClass::AtMostOnce,
         timeout: None,
-        objective: Duration::from_millis(100),
-        gap: None,
+        first_byte_objective: Duration::from_millis(100),
+        max_event_gap: None,
         priority: 0,
         public: false,
-        max_attempts: 1,
+        max_endpoints: 1,
         targets: vec![RouteTarget { service: "s".into(), weight: 1 }],
     }
 }
@@ -36,7 +36,7 @@
         route("a.example", "/x/y/"),
         route("b.example", "/only/"),
     ];
-    let routing = Routing::new(1, routes, [], CallerBounds::default());
+    let routing = Routing::new(1, routes, [], RequestLimits::default());
     let cases = [
         Case { host: "a.example", path: "/", prefix: Some("/") },
         Case { host: "a.example", path: "/x", prefix: Some("/") },
@@ -84,10 +84,10 @@
 fn adapters_are_limited_by_memory_and_slots() {
     let model =
         |adapter_mb| BaseModel { name: "m".into(), weights_mb: 65_100.0, adapter_mb };
-    let engine = |memory_mb, adapter_places| Engine {
-        slots: 1,
+    let engine = |memory_mb, adapter_places| EngineCapacity {
+        batch_slots: 1,
         memory_mb,
-        adapter_places,
+        adapter_slots: adapter_places,
         models: Vec::new(),
     };
     let cases = [
@@ -97,6 +97,10 @@
         ("adapters without size", 66_600.0, 16, 0.0, 16),
     ];
     for (name, memory, places, adapter_mb, fit) in cases {
-        assert_eq!(engine(memory, places).places(&model(adapter_mb)), fit, "{name}");
+        assert_eq!(
+            engine(memory, places).adapter_slots_for(&model(adapter_mb)),
+            fit,
+            "{name}"
+        );
     }
 }
--- a/crates/larkspring-core/tests/fleet_versions.rs
+++ b/crates/larkspring-core/tests/fleet_versions.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use larkspring_core::fleet::versions::Versions;
+use larkspring_core::fleet::versions::AdapterVersions;
 
 struct Case {
     name: &'static str,
@@ -56,13 +56,13 @@
     for c in cases {
         let start = Instant::now();
         let at = |ms| start + Duration::from_millis(ms);
-        let mut versions = Versions::default();
+        let mut versions = AdapterVersions::default();
         let adapter = "m/a".into();
         for (number, ms) in c.named {
-            versions.name(at(*ms), at(*ms), &adapter, *number);
+            versions.announce(at(*ms), at(*ms), &adapter, *number);
         }
         assert_eq!(&*versions.newest(&adapter), c.newest, "{}", c.name);
-        let allowed = versions.still_allowed(at(c.at), &adapter);
+        let allowed = versions.previous_allowed(at(c.at), &adapter);
         assert_eq!(allowed.as_deref(), c.allowed, "{}", c.name);
     }
 }
@@ -81,15 +81,15 @@
         Case { name: "an older one", version: "1", begin_by: Some(0) },
     ];
     let now = Instant::now();
-    let mut versions = Versions::default();
+    let mut versions = AdapterVersions::default();
     let adapter = "m/a".into();
-    assert_eq!(versions.begin_by(&adapter, &"1".into()), None, "none was named");
-    versions.name(now, now, &adapter, 7);
-    versions.name(now, now, &adapter, 9);
+    assert_eq!(versions.latest_start(&adapter, &"1".into()), None, "none was named");
+    versions.announce(now, now, &adapter, 7);
+    versions.announce(now, now, &adapter, 9);
     for c in cases {
         let begin_by = c.begin_by.map(|ms| now + Duration::from_millis(ms));
         assert_eq!(
-            versions.begin_by(&adapter, &c.version.into()),
+            versions.latest_start(&adapter, &c.version.into()),
             begin_by,
             "{}",
             c.name
@@ -105,13 +105,13 @@
     for late_ms in (0..6000).step_by(100) {
         let named = Instant::now();
         let learned = named + Duration::from_millis(late_ms);
-        let mut versions = Versions::default();
+        let mut versions = AdapterVersions::default();
         let adapter = "m/a".into();
-        versions.name(learned, named, &adapter, 2);
-        let begin_by = versions.begin_by(&adapter, &"1".into()).expect("a time");
+        versions.announce(learned, named, &adapter, 2);
+        let begin_by = versions.latest_start(&adapter, &"1".into()).expect("a time");
         let bound = named + Duration::from_millis(BOUND_MS);
         assert!(begin_by < bound, "{late_ms} ms late");
-        if versions.still_allowed(learned, &adapter).is_some() {
+        if versions.previous_allowed(learned, &adapter).is_some() {
             assert!(begin_by > learned, "{late_ms} ms late: sent and not begun");
         }
     }
--- a/crates/larkspring-core/tests/limited/mod.rs
+++ b/crates/larkspring-core/tests/limited/mod.rs
@@ -10,11 +10,11 @@
 use std::time::{Duration, Instant};
 
 use fastrand::Rng;
-use larkspring_core::limits::account::{Accounts, Verdict};
-use larkspring_core::limits::home::{Ask, Grant, Home, Want};
-use larkspring_core::limits::presence::{Presence, Told};
-use larkspring_core::limits::LimitTerms;
-use larkspring_core::workspaces::{Limit, Unit, Workspace};
+use larkspring_core::limits::account::{LimitDecision, WorkspaceReservations};
+use larkspring_core::limits::home::{BucketOwner, Grant, RequestedUnits, UnitsRequest};
+use larkspring_core::limits::presence::{ServingTime, ServingTimeTracker};
+use larkspring_core::limits::LimitTolerance;
+use larkspring_core::workspaces::{LimitUnit, Workspace, WorkspaceLimit};
 
 /// How the limits are divided between entries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -76,8 +76,11 @@
     pub messages: usize,
 }
 
-pub const TERMS: LimitTerms =
-    LimitTerms { window: Duration::from_secs(8), overage: 0.1, tolerance: 110_000.0 };
+pub const TERMS: LimitTolerance = LimitTolerance {
+    window: Duration::from_secs(8),
+    extra_fraction: 0.1,
+    extra_units: 110_000.0,
+};
 /// Limit of a workspace as a multiple of its usual demand.
 const LIMIT_FACTOR: f64 = 1.8;
 /// Size from which a request counts as large, in units.
@@ -90,17 +93,17 @@
 const OWNER_RETRY_MS: u64 = 1000;
 
 enum Message {
-    Request { entry: usize, owner: usize, told: Told, wants: Vec<Want> },
+    Request { entry: usize, owner: usize, told: ServingTime, wants: Vec<RequestedUnits> },
     Response { entry: usize, owner: usize, grants: Vec<Grant> },
 }
 
 struct Entry {
-    reservations: Accounts<usize>,
+    reservations: WorkspaceReservations<usize>,
     /// Grants an even share while the entry reaches no bucket owner.
-    even_share: Home,
+    even_share: BucketOwner,
     next_poll: u64,
     /// Tracks the serving time reported to the present bucket owner.
-    serving_time: Presence<Option<usize>>,
+    serving_time: ServingTimeTracker<Option<usize>>,
     /// When a bucket owner last failed to answer.
     owner_failed_at: u64,
     skipped_owners: Vec<(usize, u64)>,
@@ -125,9 +128,9 @@
         }
     }
 
-    fn reservations(&self) -> Accounts<usize> {
-        let mut reservations = Accounts::new(TERMS);
-        reservations.set_entries(self.entries as u32);
+    fn reservations(&self) -> WorkspaceReservations<usize> {
+        let mut reservations = WorkspaceReservations::new(TERMS);
+        reservations.set_entry_count(self.entries as u32);
         reservations
     }
 
@@ -142,7 +145,7 @@
     start: Instant,
     rng: Rng,
     entries: Vec<Entry>,
-    bucket_owners: Vec<Home>,
+    bucket_owners: Vec<BucketOwner>,
     frozen: Vec<VecDeque<(u64, Message)>>,
     sent: VecDeque<(u64, Message)>,
     /// Workspace and size of each request, by request number.
@@ -160,9 +163,9 @@
     fn new(scenario: &'a Scenario) -> Self {
         let entry = || Entry {
             reservations: scenario.reservations(),
-            even_share: Home::new(TERMS),
+            even_share: BucketOwner::new(TERMS),
             next_poll: 0,
-            serving_time: Presence::new(),
+            serving_time: ServingTimeTracker::new(),
             owner_failed_at: 0,
             skipped_owners: Vec::new(),
         };
@@ -173,7 +176,9 @@
             start: Instant::now(),
             rng: Rng::with_seed(scenario.seed),
             entries: (0..scenario.entries).map(|_| entry()).collect(),
-            bucket_owners: (0..scenario.owner_count).map(|_| Home::new(TERMS)).collect(),
+            bucket_owners: (0..scenario.owner_count)
+                .map(|_| BucketOwner::new(TERMS))
+                .collect(),
             frozen: (0..scenario.owner_count).map(|_| VecDeque::new()).collect(),
             sent: VecDeque::new(),
             requests: Vec::new(),
@@ -230,14 +235,16 @@
                 continue;
             }
             match fault {
-                Fault::HomeLost(owner) => self.bucket_owners[owner] = Home::new(TERMS),
+                Fault::HomeLost(owner) => {
+                    self.bucket_owners[owner] = BucketOwner::new(TERMS)
+                }
                 Fault::AllLost => {
                     self.bucket_owners
                         .iter_mut()
-                        .for_each(|owner| *owner = Home::new(TERMS));
+                        .for_each(|owner| *owner = BucketOwner::new(TERMS));
                     for entry in &mut self.entries {
                         entry.reservations = self.scenario.reservations();
-                        entry.even_share = Home::new(TERMS);
+                        entry.even_share = BucketOwner::new(TERMS);
                     }
                 }
                 Fault::HomeFrozen(_) | Fault::Cut { .. } => {}
@@ -267,7 +274,7 @@
     fn step(&mut self, ms: u64, entry: usize) {
         let now = self.at(ms);
         let mut decided = Vec::new();
-        let asked = self.entries[entry].reservations.unanswered(now, &mut decided);
+        let asked = self.entries[entry].reservations.expire_unanswered(now, &mut decided);
         let changed = self.at(self.entries[entry].owner_failed_at);
         if asked.is_some_and(|asked| asked > changed) {
             if let Some(owner) = self.bucket_owner(ms, entry) {
@@ -278,7 +285,7 @@
         }
         self.decide(ms, decided);
         let is_poll = ms >= self.entries[entry].next_poll;
-        let wants = self.entries[entry].reservations.wants(now, is_poll);
+        let wants = self.entries[entry].reservations.units_to_request(now, is_poll);
         if wants.is_empty() && !is_poll {
             return;
         }
@@ -286,16 +293,17 @@
             self.entries[entry].next_poll = ms + POLL_INTERVAL_MS;
         }
         let owner = self.bucket_owner(ms, entry);
-        let told = self.entries[entry].serving_time.ask(now, owner);
-        if told.joined {
-            self.entries[entry].reservations.home_changed();
+        let told = self.entries[entry].serving_time.record_request(now, owner);
+        if told.is_new_owner {
+            self.entries[entry].reservations.record_owner_change();
         }
         let Some(owner) = owner else {
             let all = self.scenario.entries;
             let entry = &mut self.entries[entry];
-            let ask = Ask { told, entries: all, wants: &wants };
-            let grants = entry.even_share.ask(now, &ask);
-            let decided = entry.reservations.granted(now, &grants);
+            let ask =
+                UnitsRequest { serving_time: told, entry_count: all, units: &wants };
+            let grants = entry.even_share.grant_units(now, &ask);
+            let decided = entry.reservations.apply_grants(now, &grants);
             return self.decide(ms, decided);
         };
         self.results.messages += 1;
@@ -323,8 +331,12 @@
                         self.frozen[owner].push_back((ms, delayed));
                     } else if self.reaches(ms, entry, owner) {
                         let (now, all) = (self.at(ms), self.scenario.entries);
-                        let ask = Ask { told, entries: all, wants: &wants };
-                        let grants = self.bucket_owners[owner].ask(now, &ask);
+                        let ask = UnitsRequest {
+                            serving_time: told,
+                            entry_count: all,
+                            units: &wants,
+                        };
+                        let grants = self.bucket_owners[owner].grant_units(now, &ask);
                         let message = Message::Response { entry, owner, grants };
                         later.push_back((ms + LATENCY_MS, message));
                     }
@@ -333,7 +345,7 @@
                     if self.reaches(ms, entry, owner) {
                         let now = self.at(ms);
                         let decided =
-                            self.entries[entry].reservations.granted(now, &grants);
+                            self.entries[entry].reservations.apply_grants(now, &grants);
                         self.decide(ms, decided);
                     }
                 }
@@ -345,14 +357,14 @@
     fn generate_arrivals(&mut self, ms: u64) {
         for index in 0..self.scenario.workspaces.len() {
             let (usual, times) = self.scenario.workspaces[index];
-            let limit = Limit {
-                per_sec: usual * LIMIT_FACTOR,
+            let limit = WorkspaceLimit {
+                units_per_sec: usual * LIMIT_FACTOR,
                 burst: usual * LIMIT_FACTOR,
-                unit: Unit::Requests,
+                unit: LimitUnit::Requests,
             };
             let most = limit.burst;
             self.reference_levels[index] =
-                (self.reference_levels[index] + limit.per_sec / 1000.0).min(most);
+                (self.reference_levels[index] + limit.units_per_sec / 1000.0).min(most);
             let mean: f64 =
                 self.scenario.costs.iter().map(|(cost, part)| cost * part).sum();
             let per_ms = usual * times / mean / 1000.0;
@@ -366,7 +378,7 @@
         }
     }
 
-    fn request(&mut self, ms: u64, index: usize, limit: Limit) {
+    fn request(&mut self, ms: u64, index: usize, limit: WorkspaceLimit) {
         let caller = self.rng.usize(..self.scenario.callers);
         let entry = (index * 7919 + caller * 104_729) % self.scenario.entries;
         let cost = self.cost();
@@ -385,7 +397,7 @@
             limit: Some(limit),
         };
         let reservations = &mut self.entries[entry].reservations;
-        if let Some(verdict) = reservations.enter(now, &workspace, 1, cost, number) {
+        if let Some(verdict) = reservations.admit(now, &workspace, 1, cost, number) {
             self.decide(ms, vec![(number, verdict)]);
         }
     }
@@ -401,9 +413,9 @@
         self.scenario.costs[0].0
     }
 
-    fn decide(&mut self, ms: u64, decided: Vec<(usize, Verdict)>) {
+    fn decide(&mut self, ms: u64, decided: Vec<(usize, LimitDecision)>) {
         for (number, verdict) in decided {
-            let admitted = verdict == Verdict::Admitted;
+            let admitted = verdict == LimitDecision::Admitted;
             let before = self.verdicts.insert(number, admitted);
             assert_eq!(before, None, "request {number} was decided twice");
             if admitted {
@@ -434,7 +446,8 @@
         for (index, used) in self.used.iter().enumerate() {
             let limit = self.scenario.workspaces[index].0 * LIMIT_FACTOR;
             let secs = TERMS.window.as_secs_f64();
-            let allowed = limit * (secs + 1.0) * (1.0 + TERMS.overage) + TERMS.tolerance;
+            let allowed =
+                limit * (secs + 1.0) * (1.0 + TERMS.extra_fraction) + TERMS.extra_units;
             let window = TERMS.window.as_millis() as u64;
             let (mut first, mut sum) = (0, 0.0);
             for (at, cost) in used {
--- a/crates/larkspring-core/tests/limits.rs
+++ b/crates/larkspring-core/tests/limits.rs
@@ -11,11 +11,11 @@
 
 use std::time::{Duration, Instant};
 
-use larkspring_core::limits::account::{Accounts, Verdict};
-use larkspring_core::limits::home::{Ask, Home};
-use larkspring_core::limits::presence::Told;
-use larkspring_core::limits::LimitTerms;
-use larkspring_core::workspaces::{Limit, Unit, Workspace};
+use larkspring_core::limits::account::{LimitDecision, WorkspaceReservations};
+use larkspring_core::limits::home::{BucketOwner, UnitsRequest};
+use larkspring_core::limits::presence::ServingTime;
+use larkspring_core::limits::LimitTolerance;
+use larkspring_core::workspaces::{LimitUnit, Workspace, WorkspaceLimit};
 use limited::{Allocation, Fault, Scenario};
 
 const SEEDS: [u64; 3] = [1, 2, 3];
@@ -133,23 +133,32 @@
 fn limit_without_slack_grants_units_request_by_request() {
     // Longer than the time for which no units are requested from an empty bucket.
     const STEP: Duration = Duration::from_millis(200);
-    let terms = LimitTerms { overage: 0.0, tolerance: 0.0, ..limited::TERMS };
-    let limit = Limit { per_sec: 1000.0, burst: 1000.0, unit: Unit::Requests };
+    let terms =
+        LimitTolerance { extra_fraction: 0.0, extra_units: 0.0, ..limited::TERMS };
+    let limit = WorkspaceLimit {
+        units_per_sec: 1000.0,
+        burst: 1000.0,
+        unit: LimitUnit::Requests,
+    };
     let workspace = Workspace { name: "w".into(), priority: None, limit: Some(limit) };
-    let (mut owner, mut reservations) = (Home::new(terms), Accounts::new(terms));
+    let (mut owner, mut reservations) =
+        (BucketOwner::new(terms), WorkspaceReservations::new(terms));
     let start = Instant::now();
     let mut admitted = 0;
     for step in 0..100_u32 {
         let now = start + STEP * step;
-        let entered = reservations.enter(now, &workspace, 1, 10.0, step);
+        let entered = reservations.admit(now, &workspace, 1, 10.0, step);
         assert_eq!(entered, None, "step {step}: the request waits for its own units");
-        let wants = reservations.wants(now, false);
+        let wants = reservations.units_to_request(now, false);
         let time = if step == 0 { Duration::ZERO } else { STEP };
-        let told = Told { time, joined: step == 0 };
-        let grants = owner.ask(now, &Ask { told, entries: 1, wants: &wants });
-        for (request, verdict) in reservations.granted(now, &grants) {
+        let told = ServingTime { elapsed: time, is_new_owner: step == 0 };
+        let grants = owner.grant_units(
+            now,
+            &UnitsRequest { serving_time: told, entry_count: 1, units: &wants },
+        );
+        for (request, verdict) in reservations.apply_grants(now, &grants) {
             assert_eq!(request, step);
-            admitted += usize::from(verdict == Verdict::Admitted);
+            admitted += usize::from(verdict == LimitDecision::Admitted);
         }
     }
     // Each step adds 200 units and requests 10; the first step finds an empty bucket.
--- a/crates/larkspring-core/tests/load/mod.rs
+++ b/crates/larkspring-core/tests/load/mod.rs
@@ -9,12 +9,16 @@
 use std::time::{Duration, Instant};
 
 use fastrand::Rng;
-use larkspring_core::call_time::{CallBounds, CallTime};
-use larkspring_core::fleet::choose::{for_adapter, ranked, Holding, View};
-use larkspring_core::fleet::copies::Copies;
-use larkspring_core::fleet::mechanisms::Without;
+use larkspring_core::call_time::{CallTimeout, TimeoutBounds};
+use larkspring_core::fleet::choose::{
+    choose_for_adapter, rank_endpoints, AdapterLocation, EndpointView,
+};
+use larkspring_core::fleet::copies::HostCopies;
+use larkspring_core::fleet::mechanisms::DisabledMechanisms;
 use larkspring_core::ids::{AttemptId, Incarnation, Target, TargetHash};
-use larkspring_core::slots::{Action, Eviction, Limits, LoadOrder, Slots, Waiting};
+use larkspring_core::slots::{
+    Action, EngineLimits, EngineScheduler, EvictionPolicy, LoadOrder, QueuedRequest,
+};
 
 /// Milliseconds since the start.
 pub type Ms = u64;
@@ -30,7 +34,7 @@
     /// Fraction of orders without an answer; half of these are carried out all the same.
     pub lost_orders: f64,
     /// Bounds on the wait for the answer to an order.
-    pub answer: CallBounds,
+    pub answer: TimeoutBounds,
 }
 
 /// Outcomes of the requests, and the number of fetches.
@@ -67,17 +71,17 @@
 
 struct Engine {
     id: Incarnation,
-    slots: Slots,
+    slots: EngineScheduler,
     orders: VecDeque<Order>,
     /// Orders carried out, pending loads with the remaining work in ms, and resident
     /// adapters.
     taken: u64,
     pending: HashMap<Target, f64>,
     held: HashSet<Target>,
-    copies: Copies,
+    copies: HostCopies,
     /// Until when the agent waits for an answer, and the event that follows.
     pending_call: Option<(Ms, CallResult)>,
-    time: CallTime,
+    time: CallTimeout,
     report_at: Ms,
     known_taken: u64,
     running: Vec<(AttemptId, Ms)>,
@@ -101,7 +105,7 @@
     at: Ms,
     resident: HashSet<TargetHash>,
     loading: HashSet<TargetHash>,
-    copies: Copies,
+    copies: HostCopies,
     free_places: u32,
     loads_ahead: u32,
     running: u32,
@@ -185,23 +189,23 @@
         let target = Target::new(&format!("base/a{adapter}"), "1");
         let hash = target.hash();
         let order = self.engines.iter().enumerate().map(|(n, e)| (e.id.clone(), n));
-        let order = ranked(hash, order.collect(), |(id, _)| id);
+        let order = rank_endpoints(hash, order.collect(), |(id, _)| id);
         let views: Vec<_> =
             order.iter().map(|(_, n)| self.engines[*n].view(hash)).collect();
-        let Some(at) = for_adapter(&views, Without::default()) else {
+        let Some(at) = choose_for_adapter(&views, DisabledMechanisms::default()) else {
             self.outcome.refused += 1;
             return;
         };
         let engine = order[at].1;
         self.requests.insert(id, Request { arrived_at: self.now, engine });
         let now = self.at(self.now);
-        let req = Waiting {
+        let req = QueuedRequest {
             target,
             priority: 0,
-            since: now,
+            arrived_at: now,
             deadline: self.at(self.now + DEADLINE),
-            due: self.at(self.now + OBJECTIVE),
-            worth: 1.0,
+            soft_deadline: self.at(self.now + OBJECTIVE),
+            utility: 1.0,
         };
         if self.engines[engine].slots.admit(now, id, req).is_err() {
             self.requests.remove(&id);
@@ -248,7 +252,7 @@
             .collect();
         for (id, engine) in late {
             self.requests.remove(&id);
-            self.engines[engine].slots.abandon(id);
+            self.engines[engine].slots.cancel(id);
             self.outcome.refused += 1;
         }
     }
@@ -256,18 +260,18 @@
 
 impl Engine {
     fn new(n: usize, start: Instant, scene: &Scene) -> Self {
-        let mut slots = Slots::new(Limits {
-            slots: ADAPTER_SLOTS,
+        let mut slots = EngineScheduler::new(EngineLimits {
+            adapter_slots: ADAPTER_SLOTS,
             max_running: usize::MAX,
             max_waiting: 1024,
             max_loading: 4,
-            paced: true,
-            patience: Duration::from_millis(150),
-            settle: Duration::ZERO,
-            eviction: Eviction::Heat,
-            order: LoadOrder::Worth,
+            limits_fetches: true,
+            busy_eviction_delay: Duration::from_millis(150),
+            initial_no_unload: Duration::ZERO,
+            eviction: EvictionPolicy::LeastUsed,
+            load_order: LoadOrder::Utility,
         });
-        slots.engine_is_now(start, &"run".into(), &[], &[], |_| true);
+        slots.apply_current_report(start, &"run".into(), &[], &[], |_| true);
         Self {
             id: format!("engine-{n}").into(),
             slots,
@@ -275,9 +279,9 @@
             taken: 0,
             pending: HashMap::new(),
             held: HashSet::new(),
-            copies: Copies::default(),
+            copies: HostCopies::default(),
             pending_call: None,
-            time: CallTime::new(scene.answer),
+            time: CallTimeout::new(scene.answer),
             report_at: 0,
             known_taken: 0,
             running: Vec::new(),
@@ -288,31 +292,31 @@
         }
     }
 
-    fn view(&self, target: TargetHash) -> View {
+    fn view(&self, target: TargetHash) -> EndpointView {
         let reported = &self.reported;
         let holding = if reported.resident.contains(&target) {
-            Holding::Resident
+            AdapterLocation::Resident
         } else if reported.loading.contains(&target) {
-            Holding::Loading
+            AdapterLocation::Loading
         } else if reported.copies.contains(target) {
-            Holding::Copied
+            AdapterLocation::HostMemory
         } else {
-            Holding::Absent
+            AdapterLocation::WeightStore
         };
-        View {
+        EndpointView {
             same_hall: true,
-            holding,
+            adapter_location: holding,
             running: reported.running,
-            slots: BATCH_SLOTS,
-            free_places: reported.free_places,
+            max_concurrent: BATCH_SLOTS,
+            free_adapter_slots: reported.free_places,
             loads_ahead: reported.loads_ahead + reported.loading.len() as u32,
             can_load: true,
-            filling: false,
-            prompt_tokens: 640,
-            reading: 0,
-            quality: Duration::ZERO,
+            loading_base: false,
+            uncached_prompt_tokens: 640,
+            prefill_backlog_tokens: 0,
+            failure_cost: Duration::ZERO,
             avoided: false,
-            rated: false,
+            is_rate_limited: false,
         }
     }
 
@@ -333,7 +337,7 @@
     fn end_runs(&mut self, now: Instant, ms: Ms) {
         let ended: Vec<_> = self.running.extract_if(.., |(_, at)| *at <= ms).collect();
         for (id, _) in ended {
-            self.slots.ended(now, id);
+            self.slots.record_request_end(now, id);
         }
     }
 
@@ -369,20 +373,22 @@
         match self.pending_call.take().map(|(_, result)| result) {
             Some(CallResult::Report) => self.apply_report(now, ms),
             Some(CallResult::Answered(order)) => {
-                self.time.answered(Duration::from_millis(CALL_TIME));
+                self.time.record_answer(Duration::from_millis(CALL_TIME));
                 self.known_taken += 1;
                 match order {
                     Order::Load(target) => {
-                        self.slots.load_ordered(now, &target);
+                        self.slots.record_load_order(now, &target);
                         self.report_at = self.report_at.min(ms + CALL_TIME);
                     }
-                    Order::Unload(target) => self.slots.unloaded(now, &target, true),
+                    Order::Unload(target) => {
+                        self.slots.record_unload_end(now, &target, true)
+                    }
                 }
             }
             Some(CallResult::Lost(order)) => {
-                self.time.lost();
+                self.time.record_loss();
                 if let Order::Load(target) = &order {
-                    self.slots.load_ordered(now, target);
+                    self.slots.record_load_order(now, target);
                 }
                 self.orders.push_front(order);
                 self.report_at = ms;
@@ -398,7 +404,7 @@
         // Half of the orders without an answer are carried out.
         let is_taken = !is_lost || lost();
         let fetched = if is_taken { self.take(&order) } else { 0 };
-        let wait = self.time.limit().as_millis() as Ms;
+        let wait = self.time.current().as_millis() as Ms;
         self.pending_call = Some(match is_lost {
             true => (ms + wait, CallResult::Lost(order)),
             false => (ms + CALL_TIME, CallResult::Answered(order)),
@@ -423,7 +429,7 @@
             }
             Order::Unload(target) => {
                 self.held.remove(target);
-                self.copies.leave(target.hash());
+                self.copies.record_unload(target.hash());
                 0
             }
         }
@@ -443,7 +449,7 @@
                 Order::Load(t) | Order::Unload(t) => t == target,
             })
         };
-        self.slots.engine_is_now(now, &"run".into(), &held, &pending, ordered);
+        self.slots.apply_current_report(now, &"run".into(), &held, &pending, ordered);
         self.report_at = ms + REPORT_INTERVAL;
     }
 
@@ -451,20 +457,20 @@
         if ms < self.reported.at + REPORT_TO_ENTRIES_INTERVAL {
             return;
         }
-        let (resident, loading) = self.slots.held();
+        let (resident, loading) = self.slots.resident_and_loading();
         let hashes = |of: Vec<&Target>| of.into_iter().map(Target::hash).collect();
         let resident: HashSet<_> = hashes(resident);
         let loading: HashSet<_> = hashes(loading);
         let gone: Vec<_> =
             self.reported.resident.difference(&resident).copied().collect();
         for hash in gone {
-            self.reported.copies.leave(hash);
+            self.reported.copies.record_unload(hash);
         }
         self.reported.at = ms;
         self.reported.resident = resident;
         self.reported.loading = loading;
-        self.reported.free_places = self.slots.free_places() as u32;
-        self.reported.loads_ahead = self.slots.loads_ahead() as u32;
+        self.reported.free_places = self.slots.free_adapter_slots() as u32;
+        self.reported.loads_ahead = self.slots.queued_loads() as u32;
         self.reported.running = self.slots.running() as u32;
     }
 }
--- a/crates/larkspring-core/tests/load_copies.rs
+++ b/crates/larkspring-core/tests/load_copies.rs
@@ -4,8 +4,8 @@
 use std::time::{Duration, Instant};
 
 use fastrand::Rng;
-use larkspring_core::fleet::choose::copy_pays;
-use larkspring_core::fleet::demand::Demand;
+use larkspring_core::fleet::choose::should_load_in_hall;
+use larkspring_core::fleet::demand::RequestRates;
 
 /// The largest known deployment: 13 entries in each of 5 halls, 713 requests a second for
 /// 24,000 adapters, distributed by Zipf's law with exponent 1.2.
@@ -56,7 +56,7 @@
 fn count(counting: Counting) -> Loads {
     let start = Instant::now();
     let arrivals = arrivals();
-    let mut demand = Demand::<(usize, usize, usize)>::default();
+    let mut demand = RequestRates::<(usize, usize, usize)>::default();
     let mut loaded: HashMap<(usize, usize), usize> = HashMap::new();
     let mut loads = Loads::default();
     for (n, &(adapter, hall, entry)) in arrivals.iter().enumerate() {
@@ -65,8 +65,8 @@
             Counting::Entries => ((adapter, hall, entry), ENTRIES_PER_HALL as f64),
             Counting::Agent => ((adapter, hall, 0), 1.0),
         };
-        let rate = demand.count(now, &key) * factor;
-        if loaded.contains_key(&(adapter, hall)) || !copy_pays(rate) {
+        let rate = demand.record(now, &key) * factor;
+        if loaded.contains_key(&(adapter, hall)) || !should_load_in_hall(rate) {
             continue;
         }
         loaded.insert((adapter, hall), n);
--- a/crates/larkspring-core/tests/load_lost_orders.rs
+++ b/crates/larkspring-core/tests/load_lost_orders.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use larkspring_core::call_time::CallBounds;
+use larkspring_core::call_time::TimeoutBounds;
 use load::{simulate, Outcome, Scene};
 
 /// The first seconds of a day on which engines leave 3 in 10 orders unanswered. Every
@@ -18,7 +18,7 @@
         rate: 180.0,
         length: 5_000,
         lost_orders: 0.3,
-        answer: CallBounds { least: Duration::from_millis(least), most },
+        answer: TimeoutBounds { shortest: Duration::from_millis(least), longest: most },
     }
 }
 
--- a/crates/larkspring-core/tests/once.rs
+++ b/crates/larkspring-core/tests/once.rs
@@ -3,18 +3,20 @@
 
 use std::time::Duration;
 
-use larkspring_core::claims::{Ask, ClaimLimits, Claims, Settled, Verdict};
+use larkspring_core::claims::{
+    ClaimAttempt, ClaimLimits, ClaimOutcome, ClaimTable, ClaimVerdict,
+};
 use larkspring_core::tenure::{
-    renewal, standing, takeover, Holder, Millis, Standing, Terms,
+    record_status, renewal, takeover, HolderState, Millis, RecordStatus, TenureSettings,
 };
 use larkspring_proto::keys::Tenure;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-const TERMS: Terms = Terms {
+const TERMS: TenureSettings = TenureSettings {
     lease: Duration::from_millis(1000),
     retention: Duration::from_millis(5000),
-    skew: Duration::from_millis(10),
+    max_clock_skew: Duration::from_millis(10),
 };
 
 fn run(id: u64) -> Tenure {
@@ -31,31 +33,31 @@
         t: Tenure,
         now: Millis,
         birth: Millis,
-        standing: Standing,
+        standing: RecordStatus,
     }
     let case = |t, now, birth, standing| Case { t, now, birth, standing };
     let later = || tenure(1000, 9000, 2000);
     let cases = [
-        case(tenure(0, 1000, 0), 500, 400, Standing::Known),
-        case(tenure(0, 1000, 0), 500, 509, Standing::Known),
+        case(tenure(0, 1000, 0), 500, 400, RecordStatus::Complete),
+        case(tenure(0, 1000, 0), 500, 509, RecordStatus::Complete),
         // A birth too far ahead of the clock belongs to no holder yet.
-        case(tenure(0, 1000, 0), 500, 510, Standing::Foreign),
-        case(tenure(0, 1000, 0), 2000, 1000, Standing::Foreign),
+        case(tenure(0, 1000, 0), 500, 510, RecordStatus::NotHeld),
+        case(tenure(0, 1000, 0), 2000, 1000, RecordStatus::NotHeld),
         // A holder that was paused still holds its own births, and no others.
-        case(tenure(0, 1000, 0), 2000, 999, Standing::Known),
+        case(tenure(0, 1000, 0), 2000, 999, RecordStatus::Complete),
         // The record of a key as old as the retention may have been dropped.
-        case(tenure(0, 9000, 0), 5400, 411, Standing::Known),
-        case(tenure(0, 9000, 0), 5400, 410, Standing::Lost),
-        case(later(), 3000, 999, Standing::Lost),
-        case(later(), 3000, 1000, Standing::Known),
+        case(tenure(0, 9000, 0), 5400, 411, RecordStatus::Complete),
+        case(tenure(0, 9000, 0), 5400, 410, RecordStatus::Incomplete),
+        case(later(), 3000, 999, RecordStatus::Incomplete),
+        case(later(), 3000, 1000, RecordStatus::Complete),
         // Without a birth only the time since the takeover counts.
-        case(tenure(0, 1000, 0), 500, 0, Standing::Known),
-        case(tenure(0, 1000, 0), 1000, 0, Standing::Foreign),
-        case(later(), 3000, 0, Standing::LostUntil(7000)),
-        case(later(), 7000, 0, Standing::Known),
+        case(tenure(0, 1000, 0), 500, 0, RecordStatus::Complete),
+        case(tenure(0, 1000, 0), 1000, 0, RecordStatus::NotHeld),
+        case(later(), 3000, 0, RecordStatus::IncompleteUntil(7000)),
+        case(later(), 7000, 0, RecordStatus::Complete),
     ];
     for (n, case) in cases.iter().enumerate() {
-        let standing = standing(&case.t, &TERMS, case.now, case.birth);
+        let standing = record_status(&case.t, &TERMS, case.now, case.birth);
         assert_eq!(standing, case.standing, "case {n}");
     }
 }
@@ -64,16 +66,16 @@
 fn takeover_waits_for_the_end_of_the_range_or_of_the_run() {
     struct Case {
         old: Tenure,
-        holder: Holder,
+        holder: HolderState,
         now: Millis,
         from_since: Option<(Millis, Millis)>,
     }
     let case = |old, holder, now, from_since| Case { old, holder, now, from_since };
     let cases = [
-        case(Tenure::default(), Holder::MayLive, 500, Some((0, 0))),
-        case(tenure(0, 1000, 0), Holder::MayLive, 1009, None),
-        case(tenure(0, 1000, 0), Holder::MayLive, 1010, Some((1000, 1010))),
-        case(tenure(0, 1000, 0), Holder::Ended, 500, Some((520, 500))),
+        case(Tenure::default(), HolderState::MayBeRunning, 500, Some((0, 0))),
+        case(tenure(0, 1000, 0), HolderState::MayBeRunning, 1009, None),
+        case(tenure(0, 1000, 0), HolderState::MayBeRunning, 1010, Some((1000, 1010))),
+        case(tenure(0, 1000, 0), HolderState::Ended, 500, Some((520, 500))),
     ];
     for (n, case) in cases.iter().enumerate() {
         let new = takeover(&case.old, &run(2), case.holder, &TERMS, case.now);
@@ -107,7 +109,7 @@
         probes in prop::collection::vec((1..8000u64, 0..9000u64), 1..20),
     ) {
         let mut now = 10;
-        let mut present = takeover(&Tenure::default(), &run(1), Holder::MayLive, &TERMS, now)
+        let mut present = takeover(&Tenure::default(), &run(1), HolderState::MayBeRunning, &TERMS, now)
             .expect("a partition never held is free");
         // Each run's last tenure, and the last time at which it could act.
         let mut past: Vec<(Tenure, Millis)> = Vec::new();
@@ -119,7 +121,7 @@
                 1 => None,
                 _ => {
                     let me = run(present.run + 1);
-                    let taken = takeover(&present, &me, Holder::Ended, &TERMS, seen);
+                    let taken = takeover(&present, &me, HolderState::Ended, &TERMS, seen);
                     // The old holder's clock may be ahead by the skew.
                     past.push((present.clone(), now + 10));
                     taken
@@ -130,7 +132,7 @@
             }
             let me = run(present.run + 1);
             if kind == 1 {
-                if let Some(next) = takeover(&present, &me, Holder::MayLive, &TERMS, seen) {
+                if let Some(next) = takeover(&present, &me, HolderState::MayBeRunning, &TERMS, seen) {
                     // The paused holder may act at any later time.
                     past.push((present.clone(), Millis::MAX / 2));
                     present = next;
@@ -141,52 +143,61 @@
         for (birth, at) in probes {
             let knows = |(t, end): &&(Tenure, Millis)| {
                 let acts = at.min(*end);
-                standing(t, &TERMS, acts, birth) == Standing::Known
+                record_status(t, &TERMS, acts, birth) == RecordStatus::Complete
             };
             prop_assert!(past.iter().filter(knows).count() <= 1, "{birth} {at} {past:?}");
         }
     }
 }
 
-fn claims() -> Claims<&'static str> {
-    let limits = ClaimLimits { retention: TERMS.retention, keys: 3, answer_bytes: 10 };
-    Claims::new(limits)
+fn claims() -> ClaimTable<&'static str> {
+    let limits =
+        ClaimLimits { retention: TERMS.retention, max_keys: 3, max_answer_bytes: 10 };
+    ClaimTable::new(limits)
 }
 
-fn ask(key: u128, attempt: &str) -> Ask {
-    Ask { key, request: 1, attempt: attempt.into(), deadline: 100 }
+fn ask(key: u128, attempt: &str) -> ClaimAttempt {
+    ClaimAttempt { key, request: 1, attempt: attempt.into(), deadline: 100 }
 }
 
 #[test]
 fn claim_is_granted_once() {
     let mut claims = claims();
-    assert_eq!(claims.claim(0, ask(1, "a")).0, Verdict::Granted);
-    assert_eq!(claims.claim(0, ask(1, "a")).0, Verdict::Granted);
-    assert_eq!(claims.claim(0, ask(1, "b")).0, Verdict::Running);
-    assert_eq!(claims.claim(100, ask(1, "b")).0, Verdict::Unknown);
-    let other = Ask { request: 2, ..ask(1, "b") };
-    assert_eq!(claims.claim(0, other).0, Verdict::Mismatch);
+    assert_eq!(claims.claim(0, ask(1, "a")).0, ClaimVerdict::Granted);
+    assert_eq!(claims.claim(0, ask(1, "a")).0, ClaimVerdict::Granted);
+    assert_eq!(claims.claim(0, ask(1, "b")).0, ClaimVerdict::Running);
+    assert_eq!(claims.claim(100, ask(1, "b")).0, ClaimVerdict::Unknown);
+    let other = ClaimAttempt { request: 2, ..ask(1, "b") };
+    assert_eq!(claims.claim(0, other).0, ClaimVerdict::Mismatch);
 }
 
 #[test]
 fn settled_claim_answers_a_retry() {
     struct Case {
-        settled: Settled,
-        retry: Verdict,
+        settled: ClaimOutcome,
+        retry: ClaimVerdict,
         answer: Option<&'static str>,
     }
     let cases = [
-        Case { settled: Settled::Ran, retry: Verdict::Ran, answer: Some("x") },
-        Case { settled: Settled::Unknown, retry: Verdict::Unknown, answer: None },
-        Case { settled: Settled::NotRun, retry: Verdict::Granted, answer: None },
+        Case { settled: ClaimOutcome::Ran, retry: ClaimVerdict::Ran, answer: Some("x") },
+        Case {
+            settled: ClaimOutcome::Unknown,
+            retry: ClaimVerdict::Unknown,
+            answer: None,
+        },
+        Case {
+            settled: ClaimOutcome::NotRun,
+            retry: ClaimVerdict::Granted,
+            answer: None,
+        },
     ];
     for case in cases {
         let mut claims = claims();
         claims.claim(0, ask(1, "a"));
-        claims.settle(1, "b", Settled::NotRun, None);
-        assert_eq!(claims.claim(0, ask(1, "c")).0, Verdict::Running);
+        claims.settle(1, "b", ClaimOutcome::NotRun, None);
+        assert_eq!(claims.claim(0, ask(1, "c")).0, ClaimVerdict::Running);
         claims.settle(1, "a", case.settled, case.answer.map(|a| (a, 1)));
-        claims.settle(1, "a", Settled::NotRun, None);
+        claims.settle(1, "a", ClaimOutcome::NotRun, None);
         let retry = claims.claim(1, ask(1, "d"));
         assert_eq!(retry, (case.retry, case.answer), "{:?}", case.settled);
     }
@@ -196,14 +207,14 @@
 fn keys_are_kept_for_the_retention_and_answers_up_to_the_limit() {
     let mut claims = claims();
     for key in 1..=3 {
-        assert_eq!(claims.claim(0, ask(key, "a")).0, Verdict::Granted);
-        claims.settle(key, "a", Settled::Ran, Some(("x", 5)));
+        assert_eq!(claims.claim(0, ask(key, "a")).0, ClaimVerdict::Granted);
+        claims.settle(key, "a", ClaimOutcome::Ran, Some(("x", 5)));
     }
-    assert_eq!(claims.claim(1, ask(1, "b")), (Verdict::Ran, None));
-    assert_eq!(claims.claim(1, ask(3, "b")), (Verdict::Ran, Some("x")));
-    assert_eq!(claims.claim(1, ask(4, "b")).0, Verdict::Full);
-    assert_eq!(claims.claim(4999, ask(1, "b")).0, Verdict::Ran);
-    assert_eq!(claims.claim(5000, ask(4, "b")).0, Verdict::Granted);
+    assert_eq!(claims.claim(1, ask(1, "b")), (ClaimVerdict::Ran, None));
+    assert_eq!(claims.claim(1, ask(3, "b")), (ClaimVerdict::Ran, Some("x")));
+    assert_eq!(claims.claim(1, ask(4, "b")).0, ClaimVerdict::Full);
+    assert_eq!(claims.claim(4999, ask(1, "b")).0, ClaimVerdict::Ran);
+    assert_eq!(claims.claim(5000, ask(4, "b")).0, ClaimVerdict::Granted);
     assert_eq!(claims.len(), 1);
 }
 
@@ -211,23 +222,23 @@
 fn retention_of_a_reclaimed_key_starts_at_the_last_claim() {
     let mut claims = claims();
     claims.claim(0, ask(1, "a"));
-    claims.settle(1, "a", Settled::NotRun, None);
-    assert_eq!(claims.claim(4000, ask(1, "b")).0, Verdict::Granted);
-    assert_ne!(claims.claim(6000, ask(1, "c")).0, Verdict::Granted);
+    claims.settle(1, "a", ClaimOutcome::NotRun, None);
+    assert_eq!(claims.claim(4000, ask(1, "b")).0, ClaimVerdict::Granted);
+    assert_ne!(claims.claim(6000, ask(1, "c")).0, ClaimVerdict::Granted);
 }
 
 #[test]
 fn claims_survive_a_handover() {
     let mut old = claims();
     old.claim(0, ask(1, "a"));
-    old.settle(1, "a", Settled::Ran, Some(("x", 1)));
+    old.settle(1, "a", ClaimOutcome::Ran, Some(("x", 1)));
     old.claim(10, ask(2, "a"));
     let mut new = claims();
     new.import(old.export());
-    assert_eq!(new.claim(11, ask(1, "b")), (Verdict::Ran, Some("x")));
-    assert_eq!(new.claim(11, ask(2, "b")).0, Verdict::Running);
-    new.settle(2, "a", Settled::NotRun, None);
-    assert_eq!(new.claim(12, ask(2, "b")).0, Verdict::Granted);
+    assert_eq!(new.claim(11, ask(1, "b")), (ClaimVerdict::Ran, Some("x")));
+    assert_eq!(new.claim(11, ask(2, "b")).0, ClaimVerdict::Running);
+    new.settle(2, "a", ClaimOutcome::NotRun, None);
+    assert_eq!(new.claim(12, ask(2, "b")).0, ClaimVerdict::Granted);
     // The retention counts from the first claim.
-    assert_eq!(new.claim(5000, ask(1, "b")).0, Verdict::Granted);
+    assert_eq!(new.claim(5000, ask(1, "b")).0, ClaimVerdict::Granted);
 }
--- a/crates/larkspring-core/tests/permits.rs
+++ b/crates/larkspring-core/tests/permits.rs
@@ -9,8 +9,11 @@
 use std::time::{Duration, Instant};
 
 use fastrand::Rng;
-use larkspring_core::fleet::permits::{Ask, Home, Permits, Verdict, ANSWER, UNUSED};
-use larkspring_core::fleet::rate::{Rate, RateLimit, RateWord};
+use larkspring_core::fleet::permits::{
+    IssuerRole, PermitIssuer, PermitQuery, PermitResponse, ISSUER_TIMEOUT,
+    PERMIT_LIFETIME,
+};
+use larkspring_core::fleet::rate::{AdvertisedRate, Rate, RateLimit};
 
 const RUN: u64 = 7;
 const SPAN_MS: u64 = 4000;
@@ -53,7 +56,7 @@
 /// A permit issuer, which may be unresponsive.
 #[derive(Default)]
 struct Process {
-    permits: Permits,
+    permits: PermitIssuer,
     unresponsive_until: u64,
 }
 
@@ -62,7 +65,8 @@
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
     let mut issuers = [Process::default(), Process::default()];
-    let mut own: Vec<Permits> = (0..load.entries).map(|_| Permits::default()).collect();
+    let mut own: Vec<PermitIssuer> =
+        (0..load.entries).map(|_| PermitIssuer::default()).collect();
     // Until when an entry was denied, and until when it is disconnected from the primary
     // issuer.
     let mut denied_until = vec![0; load.entries];
@@ -80,18 +84,20 @@
             if rng.f64() >= chance || denied_until[entry] > ms {
                 continue;
             }
-            let ask = |home, rate| Ask {
+            let ask = |home, rate| PermitQuery {
                 run: RUN,
                 rate: Rate::per_sec(rate).unwrap(),
                 age: Duration::ZERO,
-                home,
+                issuer: home,
             };
             let verdict = match limiter {
-                Limiter::Unlimited => Verdict::Granted,
-                Limiter::PerEntry => own[entry].ask(at(ms), &ask(Home::First, load.rate)),
+                Limiter::Unlimited => PermitResponse::Granted,
+                Limiter::PerEntry => {
+                    own[entry].request(at(ms), &ask(IssuerRole::Primary, load.rate))
+                }
                 Limiter::EqualPart => {
                     let part = load.rate / load.entries as f64;
-                    own[entry].ask(at(ms), &ask(Home::First, part))
+                    own[entry].request(at(ms), &ask(IssuerRole::Primary, part))
                 }
                 Limiter::Shared => {
                     let reaches = |issuer: &Process, n| {
@@ -103,23 +109,23 @@
                         .enumerate()
                         .find(|(n, issuer)| reaches(issuer, *n));
                     match first.map(|(n, _)| n) {
-                        Some(0) => {
-                            issuers[0].permits.ask(at(ms), &ask(Home::First, load.rate))
-                        }
-                        Some(n) => {
-                            issuers[n].permits.ask(at(ms), &ask(Home::Second, load.rate))
-                        }
-                        None => Verdict::Denied(ANSWER),
+                        Some(0) => issuers[0]
+                            .permits
+                            .request(at(ms), &ask(IssuerRole::Primary, load.rate)),
+                        Some(n) => issuers[n]
+                            .permits
+                            .request(at(ms), &ask(IssuerRole::Secondary, load.rate)),
+                        None => PermitResponse::Denied(ISSUER_TIMEOUT),
                     }
                 }
             };
             match verdict {
-                Verdict::Granted => {
-                    let late = (ANSWER + UNUSED).as_millis() as u64;
+                PermitResponse::Granted => {
+                    let late = (ISSUER_TIMEOUT + PERMIT_LIFETIME).as_millis() as u64;
                     let later = if load.faults { rng.u64(0..late) } else { 1 };
                     arrivals.push(ms + later);
                 }
-                Verdict::Denied(wait) => {
+                PermitResponse::Denied(wait) => {
                     denied_until[entry] = ms + wait.as_millis() as u64
                 }
             }
@@ -319,9 +325,11 @@
         let (mut limit, mut now) = (None, Instant::now());
         for step in c.steps {
             let advertised = match *step {
-                Advertises(rate, _) => RateWord::Named(Rate::per_sec(rate).unwrap()),
-                Silent(_) => RateWord::Silent,
-                Unreadable => RateWord::Unreadable,
+                Advertises(rate, _) => {
+                    AdvertisedRate::Limit(Rate::per_sec(rate).unwrap())
+                }
+                Silent(_) => AdvertisedRate::Missing,
+                Unreadable => AdvertisedRate::Invalid,
                 Wait(ms) => {
                     now += Duration::from_millis(ms);
                     continue;
@@ -332,11 +340,16 @@
                 Unreadable | Wait(_) => 0,
             };
             let asked = now.checked_sub(Duration::from_millis(ago)).unwrap();
-            limit = RateLimit::heard(limit, now, asked, advertised);
+            limit = RateLimit::updated(limit, now, asked, advertised);
         }
         let rate = limit.and_then(|limit| limit.in_force(now)).map(Rate::as_per_sec);
         assert_eq!(rate, c.rate, "{}", c.name);
-        assert_eq!(limit.is_some_and(|l| l.named().is_some()), c.named, "{}", c.name);
+        assert_eq!(
+            limit.is_some_and(|l| l.advertised().is_some()),
+            c.named,
+            "{}",
+            c.name
+        );
     }
 }
 
@@ -361,20 +374,21 @@
         case("nothing is probed", &[(0.0, 0)], 2),
     ];
     for c in cases {
-        let (mut permits, mut now) = (Permits::default(), Instant::now());
+        let (mut permits, mut now) = (PermitIssuer::default(), Instant::now());
         for (rate, age) in c.told {
             now += Duration::from_secs(1);
             let rate = Rate::per_sec(*rate).unwrap();
-            permits.told(now, RUN, rate, Duration::from_millis(*age));
+            permits.update_rate(now, RUN, rate, Duration::from_millis(*age));
         }
         // The requests for permits carry no newer rate.
         let age = Duration::from_secs(3600);
         let rate = Rate::per_sec(1.0).unwrap();
-        let ask = Ask { run: RUN, rate, age, home: Home::First };
+        let ask = PermitQuery { run: RUN, rate, age, issuer: IssuerRole::Primary };
         // Empties the bucket first.
-        while permits.ask(now, &ask) == Verdict::Granted {}
+        while permits.request(now, &ask) == PermitResponse::Granted {}
         let granted = (0..10_000).filter(|ms| {
-            permits.ask(now + Duration::from_millis(ms + 1), &ask) == Verdict::Granted
+            permits.request(now + Duration::from_millis(ms + 1), &ask)
+                == PermitResponse::Granted
         });
         let granted = granted.count();
         assert!(granted.abs_diff(c.granted) <= 1, "{}: {granted}", c.name);
--- a/crates/larkspring-core/tests/quarantine.rs
+++ b/crates/larkspring-core/tests/quarantine.rs
@@ -3,7 +3,9 @@
 use std::time::{Duration, Instant};
 
 use fastrand::Rng;
-use larkspring_core::quarantine::{End, Finding, Quarantine, Standing, REFUSED_FROM};
+use larkspring_core::quarantine::{
+    Crash, CrashReport, Quarantine, QuarantineStatus, REFUSED_FROM_CRASHES,
+};
 
 const SECOND: Duration = Duration::from_secs(1);
 const HALF: Duration = Duration::from_millis(500);
@@ -13,8 +15,8 @@
 /// Running time of a fatal request.
 const FATAL_RUN_TIME: Duration = Duration::from_millis(80);
 
-fn crash(run: u64, at: Instant, ran: Duration) -> End {
-    End { attempt: run, began: at - ran, at }
+fn crash(run: u64, at: Instant, ran: Duration) -> Crash {
+    Crash { attempt: run, sent_at: at - ran, crashed_at: at }
 }
 
 /// An event on one request fingerprint.
@@ -35,7 +37,7 @@
 struct Case {
     name: &'static str,
     events: &'static [Event],
-    standing: Standing,
+    standing: QuarantineStatus,
 }
 
 #[test]
@@ -45,12 +47,12 @@
         Case {
             name: "one end takes all requests there with it",
             events: &[Crashed(1)],
-            standing: Standing::Free,
+            standing: QuarantineStatus::Unrestricted,
         },
         Case {
             name: "two may be chance",
             events: &[Crashed(1), Elapsed(SECOND), Crashed(2)],
-            standing: Standing::Suspected,
+            standing: QuarantineStatus::Suspected,
         },
         Case {
             name: "three are no chance",
@@ -61,7 +63,7 @@
                 Elapsed(SECOND),
                 Crashed(3),
             ],
-            standing: Standing::Refused,
+            standing: QuarantineStatus::Refused,
         },
         Case {
             name: "the end of one run that several entries report is one end",
@@ -74,7 +76,7 @@
                 Elapsed(SECOND),
                 Crashed(2),
             ],
-            standing: Standing::Suspected,
+            standing: QuarantineStatus::Suspected,
         },
         Case {
             name: "endpoints that end together are one end",
@@ -85,7 +87,7 @@
                 Elapsed(HALF),
                 CrashedAfter(4, SECOND),
             ],
-            standing: Standing::Free,
+            standing: QuarantineStatus::Unrestricted,
         },
         Case {
             name: "an answer that comes to its end clears",
@@ -97,17 +99,21 @@
                 Elapsed(SECOND),
                 Crashed(3),
             ],
-            standing: Standing::Free,
+            standing: QuarantineStatus::Unrestricted,
         },
         Case {
             name: "also what is refused",
-            events: &[Reported(REFUSED_FROM, Duration::ZERO), Elapsed(SECOND), Answered],
-            standing: Standing::Free,
+            events: &[
+                Reported(REFUSED_FROM_CRASHES, Duration::ZERO),
+                Elapsed(SECOND),
+                Answered,
+            ],
+            standing: QuarantineStatus::Unrestricted,
         },
         Case {
             name: "what others found holds",
-            events: &[Reported(REFUSED_FROM, SECOND)],
-            standing: Standing::Refused,
+            events: &[Reported(REFUSED_FROM_CRASHES, SECOND)],
+            standing: QuarantineStatus::Refused,
         },
         Case {
             name: "others' ends and one's own are not added up twice",
@@ -116,7 +122,7 @@
                 Reported(2, Duration::ZERO),
                 Reported(2, Duration::ZERO),
             ],
-            standing: Standing::Suspected,
+            standing: QuarantineStatus::Suspected,
         },
         Case {
             name: "old news does not undo a clearing",
@@ -126,9 +132,9 @@
                 Crashed(2),
                 Elapsed(SECOND),
                 Answered,
-                Reported(REFUSED_FROM, SECOND),
+                Reported(REFUSED_FROM_CRASHES, SECOND),
             ],
-            standing: Standing::Free,
+            standing: QuarantineStatus::Unrestricted,
         },
         Case {
             name: "an old clearing does not undo later ends",
@@ -140,22 +146,22 @@
                 Crashed(3),
                 Reported(0, SECOND),
             ],
-            standing: Standing::Refused,
+            standing: QuarantineStatus::Refused,
         },
         Case {
             name: "suspicion is forgotten after an hour",
             events: &[Reported(2, Duration::ZERO), Elapsed(HOUR)],
-            standing: Standing::Free,
+            standing: QuarantineStatus::Unrestricted,
         },
         Case {
             name: "a refusal is not",
             events: &[Reported(3, Duration::ZERO), Elapsed(HOUR)],
-            standing: Standing::Refused,
+            standing: QuarantineStatus::Refused,
         },
         Case {
             name: "it is after a day",
             events: &[Reported(3, Duration::ZERO), Elapsed(DAY)],
-            standing: Standing::Free,
+            standing: QuarantineStatus::Unrestricted,
         },
     ];
     const CONTENT: u64 = 7;
@@ -165,20 +171,24 @@
         for event in c.events {
             match *event {
                 Crashed(run) => {
-                    quarantine.ended(now, CONTENT, crash(run, now, FATAL_RUN_TIME));
+                    quarantine.record_crash(
+                        now,
+                        CONTENT,
+                        crash(run, now, FATAL_RUN_TIME),
+                    );
                 }
                 CrashedAfter(run, ran) => {
-                    quarantine.ended(now, CONTENT, crash(run, now, ran));
+                    quarantine.record_crash(now, CONTENT, crash(run, now, ran));
                 }
-                Answered => drop(quarantine.clear(now, CONTENT)),
+                Answered => drop(quarantine.record_answer(now, CONTENT)),
                 Reported(ends, age) => {
-                    let report = Finding { content: CONTENT, ends, age };
-                    quarantine.learn(now, &report);
+                    let report = CrashReport { content: CONTENT, crashes: ends, age };
+                    quarantine.apply_report(now, &report);
                 }
                 Elapsed(time) => now += time,
             }
         }
-        assert_eq!(quarantine.standing(now, CONTENT), c.standing, "{}", c.name);
+        assert_eq!(quarantine.status(now, CONTENT), c.standing, "{}", c.name);
     }
 }
 
@@ -188,13 +198,14 @@
 fn records_of_ten_thousand_fatal_requests_stay_within_bounds() {
     let now = Instant::now();
     let mut quarantine = Quarantine::default();
-    let refused = Finding { content: 1, ends: REFUSED_FROM, age: Duration::ZERO };
-    quarantine.learn(now, &refused);
+    let refused =
+        CrashReport { content: 1, crashes: REFUSED_FROM_CRASHES, age: Duration::ZERO };
+    quarantine.apply_report(now, &refused);
     for content in 2..10_002 {
-        quarantine.ended(now, content, crash(content, now, FATAL_RUN_TIME));
+        quarantine.record_crash(now, content, crash(content, now, FATAL_RUN_TIME));
     }
     assert_eq!((quarantine.len(), quarantine.counts(now)), (8192, (0, 1)));
-    assert_eq!(quarantine.standing(now, 1), Standing::Refused);
+    assert_eq!(quarantine.status(now, 1), QuarantineStatus::Refused);
 }
 
 /// Engines of a fleet crash by one request among many. That request is refused after
@@ -215,8 +226,8 @@
         // Retries of interrupted requests: the engine that runs them, and the request.
         let mut retries: Vec<(u64, u64)> = Vec::new();
         let mut crashes = 0;
-        while quarantine.standing(now, FATAL) != Standing::Refused {
-            assert!(crashes <= REFUSED_FROM, "seed {seed}");
+        while quarantine.status(now, FATAL) != QuarantineStatus::Refused {
+            assert!(crashes <= REFUSED_FROM_CRASHES, "seed {seed}");
             let engine = rng.u64(0..ENGINES);
             let run = 1000 * crashes as u64 + engine;
             let retried = retries.iter().filter(|(at, _)| *at == engine).map(|(_, c)| *c);
@@ -224,7 +235,7 @@
             let new: Vec<u64> = (next..next + BESIDE).collect();
             next += BESIDE;
             for content in retried.iter().chain(&new).chain(&[FATAL]) {
-                quarantine.ended(now, *content, crash(run, now, FATAL_RUN_TIME));
+                quarantine.record_crash(now, *content, crash(run, now, FATAL_RUN_TIME));
             }
             // New requests are retried once by their callers and once by entries.
             retries = new.iter().map(|c| (rng.u64(0..ENGINES), *c)).collect();
@@ -232,7 +243,7 @@
             crashes += 1;
             now += Duration::from_millis(rng.u64(400..2000));
         }
-        assert_eq!(crashes, REFUSED_FROM, "seed {seed}");
+        assert_eq!(crashes, REFUSED_FROM_CRASHES, "seed {seed}");
         wrongly += quarantine.counts(now).1 - 1;
     }
     // 30 requests at the first crash, each with a chance of 1 in 11 to be at each of the
--- a/crates/larkspring-core/tests/repeats.rs
+++ b/crates/larkspring-core/tests/repeats.rs
@@ -3,10 +3,10 @@
 use std::time::{Duration, Instant};
 
 use fastrand::Rng;
-use larkspring_core::retry::{RepeatTerms, RepeatWindow};
+use larkspring_core::retry::{RetryTerms, RetryWindow};
 
-const TERMS: RepeatTerms =
-    RepeatTerms { ratio: 0.2, extra: 52.0, window: Duration::from_secs(10) };
+const TERMS: RetryTerms =
+    RetryTerms { ratio: 0.2, fixed: 52.0, window: Duration::from_secs(10) };
 
 /// Guards against retries that amplify an overload: with random traffic of several
 /// entries, the retries of all entries in each window stay within the ratio of the
@@ -16,8 +16,7 @@
     for seed in 0..20 {
         let mut rng = Rng::with_seed(seed);
         let entries = rng.usize(1..6);
-        let mut windows: Vec<_> =
-            (0..entries).map(|_| RepeatWindow::new(TERMS)).collect();
+        let mut windows: Vec<_> = (0..entries).map(|_| RetryWindow::new(TERMS)).collect();
         let start = Instant::now();
         let (mut requests, mut repeats) = (Vec::new(), Vec::new());
         let mut ms = 0;
@@ -26,9 +25,9 @@
             ms += if rng.u32(..100) < 2 { rng.u64(500..4000) } else { rng.u64(0..12) };
             let now = start + Duration::from_millis(ms);
             let window = &mut windows[rng.usize(..entries)];
-            window.request(now);
+            window.record_request(now);
             requests.push(ms);
-            if rng.bool() && window.repeat(now, entries) {
+            if rng.bool() && window.try_retry(now, entries) {
                 repeats.push(ms);
             }
         }
@@ -38,7 +37,7 @@
             let inside = |list: &[u64], end: u64| {
                 list.iter().filter(|t| (from(end)..=end).contains(*t)).count() as f64
             };
-            let allowed = TERMS.ratio * inside(&requests, end) + TERMS.extra;
+            let allowed = TERMS.ratio * inside(&requests, end) + TERMS.fixed;
             assert!(inside(&repeats, end) <= allowed, "seed {seed}, window to {end}");
         }
     }
@@ -47,12 +46,12 @@
 #[test]
 fn without_requests_only_the_fixed_share_is_allowed() {
     let now = Instant::now();
-    let mut alone = RepeatWindow::new(TERMS);
-    let taken = (0..100).filter(|_| alone.repeat(now, 1)).count();
+    let mut alone = RetryWindow::new(TERMS);
+    let taken = (0..100).filter(|_| alone.try_retry(now, 1)).count();
     assert_eq!(taken, 31, "three fifths of 52");
-    let mut one_of_ten = RepeatWindow::new(TERMS);
-    let taken = (0..100).filter(|_| one_of_ten.repeat(now, 10)).count();
+    let mut one_of_ten = RetryWindow::new(TERMS);
+    let taken = (0..100).filter(|_| one_of_ten.try_retry(now, 10)).count();
     assert_eq!(taken, 3);
     let later = now + Duration::from_secs(11);
-    assert!(one_of_ten.repeat(later, 10), "the window moves on");
+    assert!(one_of_ten.try_retry(later, 10), "the window moves on");
 }
--- a/crates/larkspring-core/tests/route.rs
+++ b/crates/larkspring-core/tests/route.rs
@@ -5,14 +5,14 @@
 use std::time::{Duration, Instant};
 
 use fastrand::Rng;
-use larkspring_core::declared::{Endpoint, Part, State};
+use larkspring_core::declared::{DeclaredState, Endpoint, IndexedChunk};
 use larkspring_core::ids::Target;
-use larkspring_core::route::{Hint, Policy, Router};
+use larkspring_core::route::{LoadReport, Router, RoutingPolicy};
 use larkspring_proto::declared as wire;
 
 const BASE: &str = "base";
 
-fn state(count: usize) -> State {
+fn state(count: usize) -> DeclaredState {
     let endpoint = |n| wire::Endpoint {
         name: format!("engine-{n}"),
         base: BASE.into(),
@@ -20,7 +20,7 @@
     };
     let endpoints = (0..count).map(endpoint).collect();
     let chunk = wire::Chunk { endpoints, ..wire::Chunk::default() };
-    State::build(1, vec![Arc::new(Part::index("one", &chunk))])
+    DeclaredState::build(1, vec![Arc::new(IndexedChunk::index("one", &chunk))])
 }
 
 fn hash(n: usize) -> u64 {
@@ -29,26 +29,26 @@
 
 /// A router with a few endpoints, which chooses for a fixed target.
 struct Choice {
-    state: State,
+    state: DeclaredState,
     router: Router,
     now: Instant,
 }
 
 impl Choice {
     fn new() -> Self {
-        let router = Router::new(Policy::Predicted);
+        let router = Router::new(RoutingPolicy::ShortestWait);
         Self { state: state(6), router, now: Instant::now() }
     }
 
     fn choose(&self, tried: &[Arc<Endpoint>]) -> Option<Arc<Endpoint>> {
         let tried: Vec<_> = tried.iter().map(|e| e.name.clone()).collect();
-        let near = self.state.engines_near(BASE, hash(1));
+        let near = self.state.candidate_engines(BASE, hash(1));
         let mut rng = Rng::with_seed(1);
         self.router.choose(self.now, &near, Some(hash(1)), &tried, &mut rng)
     }
 
-    fn learn(&self, endpoint: &Endpoint, hint: Hint) {
-        self.router.learn(self.now, &endpoint.name, hint);
+    fn learn(&self, endpoint: &Endpoint, hint: LoadReport) {
+        self.router.record_load_report(self.now, &endpoint.name, hint);
     }
 }
 
@@ -57,8 +57,8 @@
     for n in 0..20 {
         let choose = |seed| {
             let state = state(18);
-            let near = state.engines_near(BASE, hash(n));
-            let router = Router::new(Policy::Predicted);
+            let near = state.candidate_engines(BASE, hash(n));
+            let router = Router::new(RoutingPolicy::ShortestWait);
             let mut rng = Rng::with_seed(seed);
             router.choose(Instant::now(), &near, Some(hash(n)), &[], &mut rng).unwrap()
         };
@@ -74,11 +74,12 @@
     assert_ne!(first.name, second.name);
     // An endpoint that holds the adapter is preferred to a higher-ranked one that does
     // not,
-    choice.learn(&second, Hint { resident: vec![hash(1)], ..Hint::default() });
+    choice
+        .learn(&second, LoadReport { resident: vec![hash(1)], ..LoadReport::default() });
     assert_eq!(choice.choose(&[]).unwrap().name, second.name);
     // unless its queue is long.
     let resident = vec![hash(1)];
-    choice.learn(&second, Hint { resident, waiting: 100, ..Hint::default() });
+    choice.learn(&second, LoadReport { resident, waiting: 100, ..LoadReport::default() });
     assert_eq!(choice.choose(&[]).unwrap().name, first.name);
 }
 
@@ -86,11 +87,11 @@
 fn draining_and_unreachable_endpoints_are_avoided_for_a_time() {
     let choice = Choice::new();
     let first = choice.choose(&[]).unwrap();
-    choice.learn(&first, Hint { leaving: true, ..Hint::default() });
+    choice.learn(&first, LoadReport { draining: true, ..LoadReport::default() });
     assert_ne!(choice.choose(&[]).unwrap().name, first.name);
-    choice.learn(&first, Hint::default());
+    choice.learn(&first, LoadReport::default());
     assert_eq!(choice.choose(&[]).unwrap().name, first.name);
-    choice.router.unreachable(choice.now, &first.name);
+    choice.router.record_unreachable(choice.now, &first.name);
     assert_ne!(choice.choose(&[]).unwrap().name, first.name);
     let later = Choice { now: choice.now + Duration::from_secs(2), ..choice };
     assert_eq!(later.choose(&[]).unwrap().name, first.name);
@@ -123,7 +124,7 @@
     for case in cases {
         let state = state(case.endpoints);
         for n in 0..50 {
-            let near = state.engines_near(BASE, hash(n));
+            let near = state.candidate_engines(BASE, hash(n));
             let names: BTreeSet<_> = near.iter().map(|e| &e.name).collect();
             assert_eq!(names.len(), near.len());
             let count = near.len();
@@ -135,9 +136,9 @@
         }
     }
     // Adding an endpoint changes the first choice of few targets.
-    let first = |state: &State, n| {
-        let router = Router::new(Policy::Hash);
-        let near = state.engines_near(BASE, hash(n));
+    let first = |state: &DeclaredState, n| {
+        let router = Router::new(RoutingPolicy::Hash);
+        let near = state.candidate_engines(BASE, hash(n));
         let mut rng = Rng::with_seed(1);
         router
             .choose(Instant::now(), &near, Some(hash(n)), &[], &mut rng)
--- a/crates/larkspring-core/tests/slots.rs
+++ b/crates/larkspring-core/tests/slots.rs
@@ -4,7 +4,10 @@
 
 use larkspring_core::ids::{Incarnation, Target};
 use larkspring_core::outcome::{Outcome, Step};
-use larkspring_core::slots::{Action, Eviction, Held, Limits, LoadOrder, Slots, Waiting};
+use larkspring_core::slots::{
+    Action, EngineLimits, EngineScheduler, EvictionPolicy, LoadOrder, QueuedRequest,
+    ReportedAdapter,
+};
 
 const MINUTE: Duration = Duration::from_secs(60);
 const SETTLE: Duration = Duration::from_secs(3);
@@ -12,7 +15,7 @@
 
 /// The scheduling state with its clock.
 struct Agent {
-    slots: Slots,
+    slots: EngineScheduler,
     now: Instant,
     next: u64,
 }
@@ -26,18 +29,18 @@
     }
 
     fn unsettled(slots: usize, held: &[&str]) -> Self {
-        let limits = Limits {
-            slots,
+        let limits = EngineLimits {
+            adapter_slots: slots,
             max_running: 2,
             max_waiting: 4,
             max_loading: 1,
-            paced: false,
-            patience: PATIENCE,
-            settle: SETTLE,
-            eviction: Eviction::Heat,
-            order: LoadOrder::Urgency,
+            limits_fetches: false,
+            busy_eviction_delay: PATIENCE,
+            initial_no_unload: SETTLE,
+            eviction: EvictionPolicy::LeastUsed,
+            load_order: LoadOrder::Urgency,
         };
-        let slots = Slots::new(limits);
+        let slots = EngineScheduler::new(limits);
         let mut agent = Self { slots, now: Instant::now(), next: 0 };
         agent.report("run-1", held);
         agent
@@ -48,9 +51,11 @@
     }
 
     fn report(&mut self, run: &str, held: &[&str]) {
-        let held: Vec<_> =
-            held.iter().map(|name| Held { target: target(name), foreign: 0 }).collect();
-        self.slots.engine_is(self.now, &Incarnation::from(run), &held);
+        let held: Vec<_> = held
+            .iter()
+            .map(|name| ReportedAdapter { target: target(name), other_requests: 0 })
+            .collect();
+        self.slots.apply_delayed_report(self.now, &Incarnation::from(run), &held);
     }
 
     /// Admits a request; returns its number.
@@ -65,15 +70,15 @@
         self.next
     }
 
-    fn request(&self, name: &str, priority: u32, limit: Duration) -> Waiting {
+    fn request(&self, name: &str, priority: u32, limit: Duration) -> QueuedRequest {
         let deadline = self.now + limit;
-        Waiting {
+        QueuedRequest {
             target: target(name),
             priority,
-            since: self.now,
+            arrived_at: self.now,
             deadline,
-            due: deadline,
-            worth: 1.0,
+            soft_deadline: deadline,
+            utility: 1.0,
         }
     }
 
@@ -82,15 +87,15 @@
     }
 
     fn loaded(&mut self, name: &str, ok: bool) {
-        self.slots.loaded(self.now, &target(name), ok);
+        self.slots.record_load_end(self.now, &target(name), ok);
     }
 
     fn unloaded(&mut self, name: &str) {
-        self.slots.unloaded(self.now, &target(name), true);
+        self.slots.record_unload_end(self.now, &target(name), true);
     }
 
     fn ended(&mut self, id: u64) {
-        self.slots.ended(self.now, id);
+        self.slots.record_request_end(self.now, id);
     }
 }
 
@@ -143,8 +148,8 @@
 fn adapter_used_by_an_earlier_agent_is_not_unloaded() {
     let mut agent = Agent::new(1, &["a"]);
     let run = Incarnation::from("run-1");
-    let used = [Held { target: target("a"), foreign: 1 }];
-    agent.slots.engine_is(agent.now, &run, &used);
+    let used = [ReportedAdapter { target: target("a"), other_requests: 1 }];
+    agent.slots.apply_delayed_report(agent.now, &run, &used);
     agent.ask("b");
     assert_eq!(agent.schedule(), []);
     agent.report("run-1", &["a"]);
@@ -256,8 +261,8 @@
     };
     let case = |name, prepare, limit| Case { name, prepare, limit };
     let cases = [
-        case("draining", |a: &mut Agent| a.slots.drain(true), MINUTE),
-        case("unreachable", |a: &mut Agent| a.slots.engine_lost(), MINUTE),
+        case("draining", |a: &mut Agent| a.slots.set_draining(true), MINUTE),
+        case("unreachable", |a: &mut Agent| a.slots.record_unreachable(), MINUTE),
         case("full", fill, MINUTE),
         case("too late", |_: &mut Agent| (), Duration::from_millis(1)),
     ];
@@ -278,13 +283,13 @@
     let runs = agent.ask("a");
     assert_eq!(agent.schedule(), [Action::Start(runs)]);
     let waits = agent.ask("b");
-    agent.slots.drain(true);
+    agent.slots.set_draining(true);
     let actions = agent.schedule();
     assert!(matches!(actions[..], [Action::Refuse(id, _)] if id == waits), "{actions:?}");
     assert!(!agent.slots.is_idle());
     agent.ended(runs);
     assert!(agent.slots.is_idle());
-    agent.slots.drain(false);
+    agent.slots.set_draining(false);
     let again = agent.ask("a");
     assert_eq!(agent.schedule(), [Action::Start(again)]);
 }
--- a/crates/larkspring-core/tests/slots_fresh.rs
+++ b/crates/larkspring-core/tests/slots_fresh.rs
@@ -5,30 +5,32 @@
 
 use fastrand::Rng;
 use larkspring_core::ids::{AttemptId, Incarnation, Target};
-use larkspring_core::slots::{Action, Eviction, Limits, LoadOrder, Slots, Waiting};
+use larkspring_core::slots::{
+    Action, EngineLimits, EngineScheduler, EvictionPolicy, LoadOrder, QueuedRequest,
+};
 
-fn slots(adapter_slots: usize) -> Slots {
-    Slots::new(Limits {
-        slots: adapter_slots,
+fn slots(adapter_slots: usize) -> EngineScheduler {
+    EngineScheduler::new(EngineLimits {
+        adapter_slots: adapter_slots,
         max_running: usize::MAX,
         max_waiting: 100,
         max_loading: 4,
-        paced: true,
-        patience: Duration::from_millis(100),
-        settle: Duration::ZERO,
-        eviction: Eviction::Heat,
-        order: LoadOrder::Worth,
+        limits_fetches: true,
+        busy_eviction_delay: Duration::from_millis(100),
+        initial_no_unload: Duration::ZERO,
+        eviction: EvictionPolicy::LeastUsed,
+        load_order: LoadOrder::Utility,
     })
 }
 
-fn waiting(now: Instant, target: &Target) -> Waiting {
-    Waiting {
+fn waiting(now: Instant, target: &Target) -> QueuedRequest {
+    QueuedRequest {
         target: target.clone(),
         priority: 1,
-        since: now,
+        arrived_at: now,
         deadline: now + Duration::from_secs(60),
-        due: now + Duration::from_secs(1),
-        worth: 1.0,
+        soft_deadline: now + Duration::from_secs(1),
+        utility: 1.0,
     }
 }
 
@@ -44,16 +46,16 @@
 fn old_version_is_unloaded_before_the_new_one_loads() {
     let now = Instant::now();
     let mut slots = slots(4);
-    slots.engine_is_now(now, &run(), &[a(1)], &[], |_| true);
+    slots.apply_current_report(now, &run(), &[a(1)], &[], |_| true);
     slots.admit(now, 1, waiting(now, &a(1))).expect("admitted");
     assert_eq!(slots.schedule(now), [Action::Start(1)]);
     slots.admit(now, 2, waiting(now, &a(2))).expect("admitted");
     assert_eq!(slots.schedule(now), [], "the old version is in use");
     slots.admit(now, 3, waiting(now, &a(1))).expect("admitted");
     assert_eq!(slots.schedule(now), [], "no new use of the old version");
-    slots.ended(now, 1);
+    slots.record_request_end(now, 1);
     assert_eq!(slots.schedule(now), [Action::Unload(a(1))]);
-    slots.unloaded(now, &a(1), true);
+    slots.record_unload_end(now, &a(1), true);
     let actions = slots.schedule(now);
     assert!(actions.contains(&Action::Load(a(2))), "{actions:?}");
     assert!(!actions.contains(&Action::Load(a(1))), "{actions:?}");
@@ -112,15 +114,16 @@
     for c in cases {
         let now = Instant::now();
         let mut slots = slots(4);
-        slots.engine_is_now(now, &run(), &[], &[], |_| true);
+        slots.apply_current_report(now, &run(), &[], &[], |_| true);
         slots.admit(now, 1, waiting(now, &a(1))).expect("admitted");
         assert_eq!(slots.schedule(now), [Action::Load(a(1))], "{}", c.name);
         let targets =
             |versions: &[u64]| versions.iter().map(|v| a(*v)).collect::<Vec<_>>();
         let (holds, pending) = (targets(c.holds), targets(c.pending));
-        let failed = slots.engine_is_now(now, &run(), &holds, &pending, |_| c.ordered);
+        let failed =
+            slots.apply_current_report(now, &run(), &holds, &pending, |_| c.ordered);
         assert_eq!(failed.len(), c.failed, "{}", c.name);
-        let (resident, loading) = slots.held();
+        let (resident, loading) = slots.resident_and_loading();
         assert_eq!(
             (resident.len(), loading.len()),
             (c.resident, c.loading),
@@ -134,13 +137,13 @@
 fn adopted_requests_pin_their_adapter() {
     let now = Instant::now();
     let mut slots = slots(1);
-    assert!(!slots.adopt(now, 1, &a(1)), "not reported yet");
-    slots.engine_is_now(now, &run(), &[a(1)], &[], |_| true);
-    assert!(slots.adopt(now, 1, &a(1)));
+    assert!(!slots.adopt_running(now, 1, &a(1)), "not reported yet");
+    slots.apply_current_report(now, &run(), &[a(1)], &[], |_| true);
+    assert!(slots.adopt_running(now, 1, &a(1)));
     let b = Target::new("m/b", "1");
     slots.admit(now, 2, waiting(now, &b)).expect("admitted");
     assert_eq!(slots.schedule(now), [], "the only place is in use");
-    slots.ended(now, 1);
+    slots.record_request_end(now, 1);
     assert_eq!(slots.schedule(now), [Action::Unload(a(1))]);
 }
 
@@ -148,10 +151,10 @@
 fn new_run_has_no_adapters() {
     let now = Instant::now();
     let mut slots = slots(2);
-    slots.engine_is_now(now, &run(), &[a(1)], &[], |_| true);
-    slots.engine_is_now(now, &"other run".into(), &[], &[], |_| true);
-    assert_eq!(slots.held().0.len(), 0);
-    assert_eq!(slots.free_places(), 2);
+    slots.apply_current_report(now, &run(), &[a(1)], &[], |_| true);
+    slots.apply_current_report(now, &"other run".into(), &[], &[], |_| true);
+    assert_eq!(slots.resident_and_loading().0.len(), 0);
+    assert_eq!(slots.free_adapter_slots(), 2);
 }
 
 /// Guards against orders that an engine can't carry out. With random requests, failed
@@ -173,7 +176,7 @@
     rng: Rng,
     seed: u64,
     now: Instant,
-    slots: Slots,
+    slots: EngineScheduler,
     holds: Vec<Target>,
     pending: Vec<Target>,
     runs: u64,
@@ -228,13 +231,13 @@
         }
         let at = self.rng.usize(..self.running.len());
         let (id, _) = self.running.swap_remove(at);
-        self.slots.ended(self.now, id);
+        self.slots.record_request_end(self.now, id);
     }
 
     fn report(&mut self) {
         self.holds.append(&mut self.pending);
         let run = format!("run {}", self.runs);
-        self.slots.engine_is_now(
+        self.slots.apply_current_report(
             self.now,
             &run.as_str().into(),
             &self.holds,
@@ -284,7 +287,7 @@
                 let used = self.running.iter().any(|(_, t)| *t == target);
                 assert!(!used, "seed {seed}: {target} is in use");
                 self.holds.retain(|t| *t != target);
-                self.slots.unloaded(self.now, &target, true);
+                self.slots.record_unload_end(self.now, &target, true);
             }
         }
     }
--- a/crates/larkspring-core/tests/slots_loading.rs
+++ b/crates/larkspring-core/tests/slots_loading.rs
@@ -4,7 +4,9 @@
 use std::time::{Duration, Instant};
 
 use larkspring_core::ids::{AttemptId, Incarnation, Target};
-use larkspring_core::slots::{Action, Eviction, Limits, LoadOrder, Slots, Waiting};
+use larkspring_core::slots::{
+    Action, EngineLimits, EngineScheduler, EvictionPolicy, LoadOrder, QueuedRequest,
+};
 
 const MAX_LOADING: usize = 4;
 
@@ -20,17 +22,22 @@
     Request { adapter, due, worth }
 }
 
-fn slots(places: usize, max_loading: usize, order: LoadOrder, paced: bool) -> Slots {
-    Slots::new(Limits {
-        slots: places,
+fn slots(
+    places: usize,
+    max_loading: usize,
+    order: LoadOrder,
+    paced: bool,
+) -> EngineScheduler {
+    EngineScheduler::new(EngineLimits {
+        adapter_slots: places,
         max_running: usize::MAX,
         max_waiting: 1000,
         max_loading,
-        paced,
-        patience: Duration::from_secs(1),
-        settle: Duration::ZERO,
-        eviction: Eviction::Heat,
-        order,
+        limits_fetches: paced,
+        busy_eviction_delay: Duration::from_secs(1),
+        initial_no_unload: Duration::ZERO,
+        eviction: EvictionPolicy::LeastUsed,
+        load_order: order,
     })
 }
 
@@ -42,14 +49,14 @@
     Target::new(&format!("m/{adapter}"), "1")
 }
 
-fn waiting(now: Instant, request: &Request) -> Waiting {
-    Waiting {
+fn waiting(now: Instant, request: &Request) -> QueuedRequest {
+    QueuedRequest {
         target: target(request.adapter),
         priority: 1,
-        since: now,
+        arrived_at: now,
         deadline: now + Duration::from_secs(60),
-        due: now + Duration::from_millis(request.due),
-        worth: request.worth,
+        soft_deadline: now + Duration::from_millis(request.due),
+        utility: request.worth,
     }
 }
 
@@ -108,8 +115,8 @@
     ];
     for c in cases {
         let now = Instant::now();
-        let mut slots = slots(4, 1, LoadOrder::Worth, false);
-        slots.engine_is_now(now, &run(), &[], &[], |_| true);
+        let mut slots = slots(4, 1, LoadOrder::Utility, false);
+        slots.apply_current_report(now, &run(), &[], &[], |_| true);
         for (id, request) in c.requests.iter().enumerate() {
             let id = id as AttemptId;
             slots.admit(now, id, waiting(now, request)).expect("admitted");
@@ -120,7 +127,7 @@
 
 /// An engine that fetches adapters continuously; the duration of each fetch is given.
 struct Engine {
-    slots: Slots,
+    slots: EngineScheduler,
     now: Instant,
     /// Fetches in progress, with their ends.
     fetching: Vec<(Target, Instant)>,
@@ -131,8 +138,8 @@
 
 impl Engine {
     fn new(now: Instant) -> Self {
-        let mut slots = slots(1000, MAX_LOADING, LoadOrder::Worth, true);
-        slots.engine_is_now(now, &run(), &[], &[], |_| true);
+        let mut slots = slots(1000, MAX_LOADING, LoadOrder::Utility, true);
+        slots.apply_current_report(now, &run(), &[], &[], |_| true);
         Self { slots, now, fetching: Vec::new(), next: 0 }
     }
 
@@ -146,7 +153,7 @@
             self.ask();
             let now = self.now;
             for (target, _) in self.fetching.extract_if(.., |(_, end)| *end <= now) {
-                self.slots.loaded(now, &target, true);
+                self.slots.record_load_end(now, &target, true);
             }
             let loads = loads(&self.slots.schedule(now));
             self.fetching
@@ -161,7 +168,7 @@
     fn ask(&mut self) {
         while self.slots.waiting() < 2 * MAX_LOADING {
             let now = self.now;
-            let req = Waiting {
+            let req = QueuedRequest {
                 target: target(&self.next.to_string()),
                 ..waiting(now, &request("", 600, 1.0))
             };
@@ -197,17 +204,23 @@
     let mut engine = Engine::new(Instant::now());
     let copied = target("copied");
     let held = [copied.clone()];
-    engine.slots.engine_is_now(engine.now, &run(), &held, &[], |_| true);
+    engine.slots.apply_current_report(engine.now, &run(), &held, &[], |_| true);
     // The store is overloaded, and the engine's only permitted fetch is in progress.
     engine.advance(Duration::from_secs(2), quick);
     engine.advance(Duration::from_secs(4), 8 * quick);
     let now = engine.now;
     let fetching: Vec<_> = engine.fetching.iter().map(|(t, _)| t.clone()).collect();
-    let resident: Vec<_> =
-        engine.slots.held().0.into_iter().filter(|t| **t != copied).cloned().collect();
+    let resident: Vec<_> = engine
+        .slots
+        .resident_and_loading()
+        .0
+        .into_iter()
+        .filter(|t| **t != copied)
+        .cloned()
+        .collect();
     // The engine has unloaded the adapter meanwhile, but its VM still has the host-memory
     // copy.
-    engine.slots.engine_is_now(now, &run(), &resident, &fetching, |_| true);
+    engine.slots.apply_current_report(now, &run(), &resident, &fetching, |_| true);
     let req = waiting(now, &request("copied", 600, 100.0));
     engine.slots.admit(now, AttemptId::MAX, req).expect("admitted");
     assert_eq!(loads(&engine.slots.schedule(now)), [copied]);
@@ -234,11 +247,11 @@
     for _ in 0..8 {
         assert!(!ordered.is_empty(), "fetches go on");
         for target in &ordered {
-            engine.slots.load_ordered(engine.now + lost, target);
+            engine.slots.record_load_order(engine.now + lost, target);
         }
         engine.now += lost + quick;
         for target in ordered {
-            engine.slots.loaded(engine.now, &target, true);
+            engine.slots.record_load_end(engine.now, &target, true);
         }
         engine.ask();
         ordered = loads(&engine.slots.schedule(engine.now));
--- a/crates/larkspring-core/tests/slots_random.rs
+++ b/crates/larkspring-core/tests/slots_random.rs
@@ -5,7 +5,10 @@
 use std::time::{Duration, Instant};
 
 use larkspring_core::ids::{Incarnation, Target};
-use larkspring_core::slots::{Action, Eviction, Held, Limits, LoadOrder, Slots, Waiting};
+use larkspring_core::slots::{
+    Action, EngineLimits, EngineScheduler, EvictionPolicy, LoadOrder, QueuedRequest,
+    ReportedAdapter,
+};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -47,7 +50,7 @@
 
 /// The actual state of the engine, next to the scheduling state that is based on reports.
 struct Simulation {
-    slots: Slots,
+    slots: EngineScheduler,
     now: Instant,
     run: u32,
     loaded: BTreeSet<u8>,
@@ -73,19 +76,19 @@
 
 impl Simulation {
     fn new() -> Self {
-        let limits = Limits {
-            slots: SLOTS,
+        let limits = EngineLimits {
+            adapter_slots: SLOTS,
             max_running: MAX_RUNNING,
             max_waiting: 20,
             max_loading: 2,
-            paced: false,
-            patience: Duration::from_secs(2),
-            settle: Duration::from_secs(3),
-            eviction: Eviction::Heat,
-            order: LoadOrder::Urgency,
+            limits_fetches: false,
+            busy_eviction_delay: Duration::from_secs(2),
+            initial_no_unload: Duration::from_secs(3),
+            eviction: EvictionPolicy::LeastUsed,
+            load_order: LoadOrder::Urgency,
         };
         let mut simulation = Self {
-            slots: Slots::new(limits),
+            slots: EngineScheduler::new(limits),
             now: Instant::now(),
             run: 1,
             loaded: BTreeSet::new(),
@@ -106,7 +109,7 @@
             Event::Abandon(nth) => {
                 let ids: Vec<_> = self.waiting.keys().copied().collect();
                 if let Some(id) = pick(&ids, nth) {
-                    assert!(self.slots.abandon(id), "a waiting request has not started");
+                    assert!(self.slots.cancel(id), "a waiting request has not started");
                     self.waiting.remove(&id);
                 }
             }
@@ -114,7 +117,7 @@
                 let ids: Vec<_> = self.running.keys().copied().collect();
                 if let Some(id) = pick(&ids, nth) {
                     self.running.remove(&id);
-                    self.slots.ended(self.now, id);
+                    self.slots.record_request_end(self.now, id);
                 }
             }
             Event::Load { nth, ok } => {
@@ -123,7 +126,7 @@
                     if ok {
                         self.loaded.insert(a);
                     }
-                    self.slots.loaded(self.now, &target(a), ok);
+                    self.slots.record_load_end(self.now, &target(a), ok);
                 }
             }
             Event::Unload { nth, ok } => {
@@ -132,7 +135,7 @@
                     if ok {
                         self.loaded.remove(&a);
                     }
-                    self.slots.unloaded(self.now, &target(a), ok);
+                    self.slots.record_unload_end(self.now, &target(a), ok);
                 }
             }
             Event::Report { lag } => self.report(lag as usize),
@@ -144,7 +147,7 @@
                 self.history.clear();
                 self.report(0);
             }
-            Event::Lost => self.slots.engine_lost(),
+            Event::Lost => self.slots.record_unreachable(),
             Event::Wait(ms) => self.now += Duration::from_millis(ms),
         }
         self.history.push((self.run, self.loaded.clone()));
@@ -153,13 +156,13 @@
     fn request(&mut self, adapter: u8, priority: u32) {
         self.next += 1;
         let deadline = self.now + Duration::from_secs(3600);
-        let req = Waiting {
+        let req = QueuedRequest {
             target: target(adapter),
             priority,
-            since: self.now,
+            arrived_at: self.now,
             deadline,
-            due: deadline,
-            worth: 1.0,
+            soft_deadline: deadline,
+            utility: 1.0,
         };
         if self.slots.admit(self.now, self.next, req).is_ok() {
             self.waiting.insert(self.next, adapter);
@@ -170,8 +173,10 @@
         let past = self.history.iter().rev().nth(lag).cloned();
         let (run, loaded) = past.unwrap_or((self.run, self.loaded.clone()));
         let run = Incarnation::from(run.to_string());
-        let held = loaded.iter().map(|a| Held { target: target(*a), foreign: 0 });
-        self.slots.engine_is(self.now, &run, &held.collect::<Vec<_>>());
+        let held = loaded
+            .iter()
+            .map(|a| ReportedAdapter { target: target(*a), other_requests: 0 });
+        self.slots.apply_delayed_report(self.now, &run, &held.collect::<Vec<_>>());
     }
 
     fn schedule(&mut self) {
@@ -182,8 +187,8 @@
                     // The engine refuses a request for an adapter that it does not hold;
                     // the agent then records the adapter as missing.
                     if !self.loaded.contains(&a) {
-                        self.slots.lost(&target(a));
-                        self.slots.ended(self.now, id);
+                        self.slots.record_missing_adapter(&target(a));
+                        self.slots.record_request_end(self.now, id);
                         continue;
                     }
                     self.running.insert(id, (a, self.run));
--- a/crates/larkspring-core/tests/workspaces.rs
+++ b/crates/larkspring-core/tests/workspaces.rs
@@ -1,24 +1,24 @@
 //! Validation of declared workspaces, lookups by key, and the secrecy of keys.
 
 use larkspring_core::workspaces::{
-    KeyHash, Limit, Unit, Workspace, WorkspaceError, Workspaces,
+    ApiKeyHash, LimitUnit, Workspace, WorkspaceError, WorkspaceLimit, Workspaces,
 };
 
-fn workspace(name: &str, limit: Option<Limit>) -> Workspace {
+fn workspace(name: &str, limit: Option<WorkspaceLimit>) -> Workspace {
     Workspace { name: name.into(), priority: None, limit }
 }
 
-fn limit(per_sec: f64, burst: f64) -> Option<Limit> {
-    Some(Limit { per_sec, burst, unit: Unit::Requests })
+fn limit(per_sec: f64, burst: f64) -> Option<WorkspaceLimit> {
+    Some(WorkspaceLimit { units_per_sec: per_sec, burst, unit: LimitUnit::Requests })
 }
 
-fn key(text: &str) -> KeyHash {
-    KeyHash::of(text.as_bytes())
+fn key(text: &str) -> ApiKeyHash {
+    ApiKeyHash::of(text.as_bytes())
 }
 
 struct Case {
     name: &'static str,
-    declared: Vec<(Workspace, Vec<KeyHash>)>,
+    declared: Vec<(Workspace, Vec<ApiKeyHash>)>,
     error: Option<WorkspaceError>,
 }
 
@@ -101,22 +101,26 @@
 #[test]
 fn requests_cost_units_of_the_limit() {
     struct Cost {
-        unit: Unit,
+        unit: LimitUnit,
         tokens: Option<u64>,
         cost: f64,
     }
     let cases = [
-        Cost { unit: Unit::Requests, tokens: Some(900), cost: 1.0 },
-        Cost { unit: Unit::Requests, tokens: None, cost: 1.0 },
+        Cost { unit: LimitUnit::Requests, tokens: Some(900), cost: 1.0 },
+        Cost { unit: LimitUnit::Requests, tokens: None, cost: 1.0 },
         Cost {
-            unit: Unit::Tokens { unsized_request: 200.0 },
+            unit: LimitUnit::Tokens { unsized_request: 200.0 },
             tokens: Some(900),
             cost: 900.0,
         },
-        Cost { unit: Unit::Tokens { unsized_request: 200.0 }, tokens: None, cost: 200.0 },
+        Cost {
+            unit: LimitUnit::Tokens { unsized_request: 200.0 },
+            tokens: None,
+            cost: 200.0,
+        },
     ];
     for c in cases {
-        let limit = Limit { per_sec: 1.0, burst: 1.0, unit: c.unit };
+        let limit = WorkspaceLimit { units_per_sec: 1.0, burst: 1.0, unit: c.unit };
         assert_eq!(limit.cost(c.tokens), c.cost, "{:?} {:?}", c.unit, c.tokens);
     }
 }
--- a/crates/larkspring-standin/src/web.rs
+++ b/crates/larkspring-standin/src/web.rs
@@ -8,7 +8,7 @@
 
 use http_types::{Body, Request, Response};
 use larkspring::http::head::HeadError;
-use larkspring::http::server::{serve, Handler, Limits};
+use larkspring::http::server::{serve, Handler, ServerLimits};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use smol::net::TcpListener;
@@ -40,7 +40,7 @@
 ) -> io::Result<RunningStandin> {
     let listener = TcpListener::bind(addr).await?;
     let addr = listener.local_addr()?;
-    let limits = Limits {
+    let limits = ServerLimits {
         max_body: MAX_BODY_BYTES,
         read_timeout: Duration::from_secs(10),
         idle_timeout: Duration::from_secs(60),
@@ -60,7 +60,7 @@
         self.0.clone().answer(req).await
     }
 
-    fn refuse(&self, error: &HeadError) -> Response {
+    fn error_response(&self, error: &HeadError) -> Response {
         text_response(error.status(), &error.to_string())
     }
 }
--- a/crates/larkspring/src/agent/backend.rs
+++ b/crates/larkspring/src/agent/backend.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use smol::net::TcpStream;
 
-use crate::http::client::{connect, exchange, fetch, request, HttpError};
+use crate::http::client::{connect, fetch, request, send_request, HttpError};
 
 /// Header with the run of the engine, on each answer of the engine.
 pub const INCARNATION_HEADER: &str = "x-engine-incarnation";
@@ -89,7 +89,7 @@
         sock: TcpStream,
         req: Request,
     ) -> Result<Response, HttpError> {
-        exchange(sock, &self.addr, req).await
+        send_request(sock, &self.addr, req).await
     }
 
     /// Builds the request to an engine.
--- a/crates/larkspring/src/agent/endpoint.rs
+++ b/crates/larkspring/src/agent/endpoint.rs
@@ -10,7 +10,7 @@
 use larkspring_core::declared::Serves;
 use larkspring_core::ids::{AttemptId, Incarnation, Target};
 use larkspring_core::outcome::Refusal;
-use larkspring_core::slots::{Action, Held, Slots, Waiting};
+use larkspring_core::slots::{Action, EngineScheduler, QueuedRequest, ReportedAdapter};
 use larkspring_proto::agent::Hint;
 use parking_lot::Mutex;
 use smol::channel::{bounded, Receiver, Sender};
@@ -19,7 +19,7 @@
 use super::backend::{Backend, Report};
 use super::fence::Fence;
 use super::load_permits::LoadPermits;
-use crate::exec::{self, within};
+use crate::exec::{self, with_timeout};
 use crate::in_force::InForce;
 use crate::settings::AgentCfg;
 use crate::telemetry::Metrics;
@@ -27,7 +27,7 @@
 /// The endpoint of an agent.
 pub struct Endpoint {
     cfg: AgentCfg,
-    slots: Mutex<Slots>,
+    slots: Mutex<EngineScheduler>,
     verdicts: Mutex<HashMap<AttemptId, Sender<Verdict>>>,
     next_id: AtomicU64,
     changed: Event,
@@ -76,7 +76,7 @@
         load_permits: LoadPermits,
     ) -> Self {
         Self {
-            slots: Mutex::new(Slots::new(super::limits(&cfg))),
+            slots: Mutex::new(EngineScheduler::new(super::limits(&cfg))),
             verdicts: Mutex::default(),
             next_id: AtomicU64::new(1),
             changed: Event::new(),
@@ -124,7 +124,7 @@
     }
 
     /// Queues a request, which waits until [`RequestSlot::wait_granted`].
-    pub fn enqueue(self: &Arc<Self>, req: Waiting) -> Result<RequestSlot, Refusal> {
+    pub fn enqueue(self: &Arc<Self>, req: QueuedRequest) -> Result<RequestSlot, Refusal> {
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         let (tx, verdict) = bounded(1);
         self.verdicts.lock().insert(id, tx);
@@ -167,23 +167,23 @@
         };
         let held = report.resident.iter().filter_map(|name| {
             let target = parse_target(name)?;
-            Some(Held { target, foreign: foreign(name) })
+            Some(ReportedAdapter { target, other_requests: foreign(name) })
         });
         let held: Vec<_> = held.collect();
         let run = Incarnation::from(report.incarnation.as_str());
-        self.slots.lock().engine_is(Instant::now(), &run, &held);
+        self.slots.lock().apply_delayed_report(Instant::now(), &run, &held);
         self.run_scheduler();
     }
 
     /// Records that the engine could not be reached.
     pub fn mark_unreachable(self: &Arc<Self>) {
-        self.slots.lock().engine_lost();
+        self.slots.lock().record_unreachable();
         self.run_scheduler();
     }
 
     /// Records that an adapter is not resident in the engine.
     pub fn mark_not_resident(self: &Arc<Self>, target: &Target) {
-        self.slots.lock().lost(target);
+        self.slots.lock().record_missing_adapter(target);
         self.run_scheduler();
     }
 
@@ -200,7 +200,7 @@
 
     /// Starts or stops draining by the agent's state, the declared state and the VM list.
     pub fn update_draining(self: &Arc<Self>) {
-        self.slots.lock().drain(self.is_draining());
+        self.slots.lock().set_draining(self.is_draining());
         self.run_scheduler();
     }
 
@@ -209,7 +209,7 @@
         let state = self.in_force.state();
         let declared = state.endpoint(self.name());
         self.stopping.load(Ordering::Acquire)
-            || declared.is_some_and(|e| e.leaving)
+            || declared.is_some_and(|e| e.draining)
             || self.in_force.is_vm_leaving(&self.vm)
     }
 
@@ -224,7 +224,7 @@
                 listener.await;
             }
         };
-        within(limit, idle).await;
+        with_timeout(limit, idle).await;
     }
 
     /// Returns the load report for entries.
@@ -247,19 +247,19 @@
         let load = format!("{}/{target}", self.name());
         let permit = self.load_permits.acquire(load, demand, state.engine_count()).await;
         if self.slots.lock().demand(&target).is_none() {
-            self.slots.lock().not_loaded(&target);
+            self.slots.lock().cancel_load(&target);
             self.load_permits.release(permit).await;
             return self.run_scheduler();
         }
         let started = Instant::now();
-        let ok = match state.weights(&target) {
+        let ok = match state.weights_location(&target) {
             Some(weights) => self.load_checked(&target, weights).await,
             None => false,
         };
         let outcome = if ok { "ok" } else { "failed" };
-        self.metrics.count("loads", "outcome", outcome);
-        self.metrics.time("load_time", started.elapsed());
-        self.slots.lock().loaded(Instant::now(), &target, ok);
+        self.metrics.increment("loads", "outcome", outcome);
+        self.metrics.record_duration("load_time", started.elapsed());
+        self.slots.lock().record_load_end(Instant::now(), &target, ok);
         self.run_scheduler();
         self.load_permits.release(permit).await;
     }
@@ -291,7 +291,7 @@
     async fn unload(self: Arc<Self>, target: Target) {
         if !self.may_send_orders().await {
             tracing::warn!(adapter = %target, "not unloaded: another agent may hold the epoch");
-            self.slots.lock().unloaded(Instant::now(), &target, false);
+            self.slots.lock().record_unload_end(Instant::now(), &target, false);
             // No call was made, so without a pause the next attempt would follow at once.
             Timer::after(SKIPPED_ORDER_PAUSE).await;
             return self.run_scheduler();
@@ -300,7 +300,7 @@
         if let Err(e) = &done {
             tracing::warn!(adapter = %target, error = %e, "unload failed");
         }
-        self.slots.lock().unloaded(Instant::now(), &target, done.is_ok());
+        self.slots.lock().record_unload_end(Instant::now(), &target, done.is_ok());
         self.run_scheduler();
     }
 
@@ -314,8 +314,8 @@
     fn remove_request(self: &Arc<Self>, id: AttemptId) {
         self.verdicts.lock().remove(&id);
         let mut slots = self.slots.lock();
-        if !slots.abandon(id) {
-            slots.ended(Instant::now(), id);
+        if !slots.cancel(id) {
+            slots.record_request_end(Instant::now(), id);
         }
         drop(slots);
         self.run_scheduler();
@@ -380,6 +380,6 @@
 
 /// Parses `adapter@version`.
 fn parse_target(name: &str) -> Option<Target> {
-    let (adapter, version) = name.split_once(larkspring_core::ids::VERSION_MARK)?;
+    let (adapter, version) = name.split_once(larkspring_core::ids::VERSION_SEPARATOR)?;
     Some(Target::new(adapter, version))
 }
--- a/crates/larkspring/src/agent/job.rs
+++ b/crates/larkspring/src/agent/job.rs
@@ -8,7 +8,7 @@
 use http_types::{Body, Request, Response};
 use larkspring_core::ids::Target;
 use larkspring_core::outcome::{Refusal, Step};
-use larkspring_core::slots::Waiting;
+use larkspring_core::slots::QueuedRequest;
 use larkspring_proto::agent::{
     dispatch_down, dispatch_up, Begin, DispatchDown, DispatchUp, End, Start,
 };
@@ -23,7 +23,7 @@
 use super::endpoint::{Endpoint, RequestSlot};
 use super::poll::SERVICE_VERSION;
 use super::START_TIMEOUT;
-use crate::exec::{self, within};
+use crate::exec::{self, with_timeout};
 use crate::rpc::credit::{units, Credit, MAX_CHUNK_BYTES};
 use crate::telemetry::TraceParent;
 use crate::wire::refusal_to_wire;
@@ -47,7 +47,7 @@
     mut up: Streaming<DispatchUp>,
     down: DownSender,
 ) {
-    let first = within(START_TIMEOUT, up.next()).await.flatten();
+    let first = with_timeout(START_TIMEOUT, up.next()).await.flatten();
     let Some(Ok(DispatchUp { kind: Some(dispatch_up::Kind::Start(start)) })) = first
     else {
         let _ = down.send(Err(Status::invalid_argument("`start` is missing"))).await;
@@ -56,7 +56,7 @@
     let credit = Arc::new(Credit::default());
     credit.grant(start.credit);
     let reader = exec::spawn(read_credit(up, credit.clone()));
-    let trace = TraceParent::next(Some(&start.traceparent));
+    let trace = TraceParent::child(Some(&start.traceparent));
     let span = tracing::info_span!(
         "agent",
         trace = trace.trace,
@@ -64,7 +64,7 @@
         attempt = start.attempt,
         endpoint = endpoint.name()
     );
-    let job = Job { endpoint, start, credit, down, trace };
+    let job = AgentRequestHandler { endpoint, start, credit, down, trace };
     job.run().instrument(span).await;
     drop(reader);
 }
@@ -79,7 +79,7 @@
     credit.close();
 }
 
-struct Job {
+struct AgentRequestHandler {
     endpoint: Arc<Endpoint>,
     start: Start,
     credit: Arc<Credit>,
@@ -117,18 +117,18 @@
 #[derive(Default)]
 struct LastBytes(Vec<u8>);
 
-impl Job {
+impl AgentRequestHandler {
     async fn run(&self) {
         let deadline = Instant::now() + Duration::from_millis(self.start.deadline_ms);
         match self.serve(deadline).await {
-            Ok(()) => self.endpoint.metrics.count("requests", "outcome", "ok"),
+            Ok(()) => self.endpoint.metrics.increment("requests", "outcome", "ok"),
             Err(Abort::EntryGone) => {
-                self.endpoint.metrics.count("requests", "outcome", "gone");
+                self.endpoint.metrics.increment("requests", "outcome", "gone");
                 tracing::info!("request cancelled: the entry ended the call");
             }
             Err(Abort::Refused(refusal)) => {
                 let outcome = refusal.outcome.name();
-                self.endpoint.metrics.count("requests", "outcome", outcome);
+                self.endpoint.metrics.increment("requests", "outcome", outcome);
                 tracing::info!(%refusal, "refused");
                 let refusal = refusal_to_wire(refusal, Some(self.endpoint.load_report()));
                 let _ = self.send_message(dispatch_down::Kind::Refusal(refusal)).await;
@@ -139,13 +139,13 @@
     async fn serve(&self, deadline: Instant) -> Result<(), Abort> {
         let target = self.target(deadline).await?;
         let since = Instant::now();
-        let waiting = Waiting {
+        let waiting = QueuedRequest {
             target: target.clone(),
             priority: self.start.priority,
-            since,
+            arrived_at: since,
             deadline,
-            due: deadline,
-            worth: 1.0,
+            soft_deadline: deadline,
+            utility: 1.0,
         };
         let mut slot = self.endpoint.enqueue(waiting)?;
         let deadline_refusal = || deadline_refusal(Step::Queue, Refusal::not_run);
@@ -177,7 +177,7 @@
         };
         let target = Target::new(&model.adapter, &model.version);
         self.wait_for_revision(deadline).await;
-        match self.endpoint.in_force.state().weights(&target) {
+        match self.endpoint.in_force.state().weights_location(&target) {
             Some(_) => Ok(target),
             None => {
                 let text = format!("`{target}` is not declared here yet");
@@ -197,7 +197,8 @@
         }
         tracing::info!(known, wanted, "the request waits for the declared state");
         let left = deadline.saturating_duration_since(Instant::now());
-        within(left.min(MAX_REVISION_WAIT), in_force.wait_for_revision(wanted)).await;
+        with_timeout(left.min(MAX_REVISION_WAIT), in_force.wait_for_revision(wanted))
+            .await;
     }
 
     /// Sends the request and checks that the expected adapter and run begin to answer.
--- a/crates/larkspring/src/agent/load_permits.rs
+++ b/crates/larkspring/src/agent/load_permits.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use larkspring_core::budget::BudgetLimits;
+use larkspring_core::budget::LoadBudgetLimits;
 use larkspring_proto::keys::KeyTable;
 use larkspring_proto::loads::loads_client::LoadsClient;
 use larkspring_proto::loads::{DoneRequest, PermitRequest};
@@ -10,14 +10,14 @@
 use smol::Timer;
 
 use crate::entry::keys::{LEADING_PARTITION, TABLE_OBJECT};
-use crate::exec::within;
+use crate::exec::with_timeout;
 use crate::platform::objects::{HttpObjects, ObjectApi};
 use crate::rpc::channel::{Channel, Pool};
 use crate::settings::PlatformCfg;
 
 /// Client of the leading entry, which grants load permits.
 pub struct LoadPermits {
-    limits: Option<BudgetLimits>,
+    limits: Option<LoadBudgetLimits>,
     api: HttpObjects,
     pool: Pool,
     /// Address of the leading entry, as last known.
@@ -76,14 +76,15 @@
         let Some(addr) = permit.leader else { return };
         let Some(mut client) = self.client(&addr).await else { return };
         // A permit that is not returned expires.
-        within(CONNECT_TIMEOUT, client.done(DoneRequest { load: permit.load })).await;
+        with_timeout(CONNECT_TIMEOUT, client.done(DoneRequest { load: permit.load }))
+            .await;
     }
 
     /// Requests a permit: `true` if granted, `false` if not yet, `None` if the call
     /// failed or the entry does not lead.
     async fn request(&self, addr: &str, req: PermitRequest) -> Option<bool> {
         let mut client = self.client(addr).await?;
-        let reply = within(PERMIT_TIMEOUT, client.permit(req)).await?;
+        let reply = with_timeout(PERMIT_TIMEOUT, client.permit(req)).await?;
         let reply = reply.ok()?.into_inner();
         (!reply.elsewhere).then_some(reply.granted)
     }
--- a/crates/larkspring/src/agent/mod.rs
+++ b/crates/larkspring/src/agent/mod.rs
@@ -17,7 +17,7 @@
 use std::time::Duration;
 
 use futures_lite::Stream;
-use larkspring_core::slots::{Limits, LoadOrder};
+use larkspring_core::slots::{EngineLimits, LoadOrder};
 use larkspring_proto::agent::agent_server::{Agent as AgentRpc, AgentServer};
 use larkspring_proto::agent::{DispatchDown, DispatchUp};
 use quick_error::quick_error;
@@ -29,7 +29,7 @@
 use self::fence::Fence;
 use self::load_permits::LoadPermits;
 use crate::exec;
-use crate::follow::Follower;
+use crate::follow::StateDistributor;
 use crate::in_force::InForce;
 use crate::platform::objects::HttpObjects;
 use crate::rpc::serve::serve;
@@ -55,7 +55,7 @@
     /// The address on which entries are served.
     pub addr: SocketAddr,
     endpoint: Arc<Endpoint>,
-    stopper: crate::rpc::serve::Stopper,
+    stopper: crate::rpc::serve::ShutdownHandle,
     grace: Duration,
     _tasks: Vec<smol::Task<()>>,
 }
@@ -83,7 +83,7 @@
             fence,
             load_permits,
         ));
-        let follower = Follower::new(in_force, &settings.platform, String::new());
+        let follower = StateDistributor::new(in_force, &settings.platform, String::new());
         let follow = exec::spawn(async move { follower.run(|| false).await });
         let polls = exec::spawn(poll::run(endpoint.clone()));
         let service = AgentServer::new(Service { endpoint: endpoint.clone() });
@@ -129,17 +129,17 @@
 }
 
 /// Returns the scheduler's limits from the settings.
-fn limits(cfg: &AgentCfg) -> Limits {
-    Limits {
-        slots: cfg.slots,
+fn limits(cfg: &AgentCfg) -> EngineLimits {
+    EngineLimits {
+        adapter_slots: cfg.slots,
         max_running: cfg.max_running,
         max_waiting: cfg.max_waiting,
         max_loading: MAX_CONCURRENT_LOADS,
-        paced: false,
-        patience: EVICTION_DELAY,
-        settle: REPORT_SETTLE_TIME,
+        limits_fetches: false,
+        busy_eviction_delay: EVICTION_DELAY,
+        initial_no_unload: REPORT_SETTLE_TIME,
         eviction: cfg.eviction,
-        order: LoadOrder::Urgency,
+        load_order: LoadOrder::Urgency,
     }
 }
 
--- a/crates/larkspring/src/clock.rs
+++ b/crates/larkspring/src/clock.rs
@@ -13,17 +13,17 @@
 
 /// A point in time, as the time since the VM's boot including suspensions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Moment(Duration);
+pub struct BootInstant(Duration);
 
 /// Milliseconds by which tests have advanced the clock.
 static ADVANCED_MS: AtomicU64 = AtomicU64::new(0);
 
 /// Advances the clock of this process, as a suspension does. For tests.
-pub fn step(by: Duration) {
+pub fn advance(by: Duration) {
     ADVANCED_MS.fetch_add(by.as_millis() as u64, Ordering::Relaxed);
 }
 
-impl Moment {
+impl BootInstant {
     /// Returns the current time.
     pub fn now() -> Self {
         let time = clock_gettime(ClockId::Boottime);
@@ -48,7 +48,7 @@
     }
 }
 
-impl Add<Duration> for Moment {
+impl Add<Duration> for BootInstant {
     type Output = Self;
 
     fn add(self, time: Duration) -> Self {
--- a/crates/larkspring/src/direct/agent/controller.rs
+++ b/crates/larkspring/src/direct/agent/controller.rs
@@ -7,17 +7,19 @@
 
 use futures_lite::future;
 use larkspring_core::fleet::availability::Notice;
-use larkspring_core::fleet::choose::copy_pays;
-use larkspring_core::fleet::demand::Demand;
+use larkspring_core::fleet::choose::should_load_in_hall;
+use larkspring_core::fleet::demand::RequestRates;
 use larkspring_core::fleet::mechanisms::Mechanism;
-use larkspring_core::fleet::permits::{self, Permits, Verdict};
+use larkspring_core::fleet::permits::{self, PermitIssuer, PermitResponse};
 use larkspring_core::fleet::rate::Rate;
-use larkspring_core::fleet::reading::Unread;
+use larkspring_core::fleet::reading::PrefillBacklog;
 use larkspring_core::ids::{AttemptId, HallId, Target, TargetHash};
-use larkspring_core::limits::home::{Ask, Home};
+use larkspring_core::limits::home::{BucketOwner, UnitsRequest};
 use larkspring_core::limits::presence;
 use larkspring_core::outcome::Refusal;
-use larkspring_core::slots::{Action, Eviction, Limits, LoadOrder, Slots, Waiting};
+use larkspring_core::slots::{
+    Action, EngineLimits, EngineScheduler, EvictionPolicy, LoadOrder, QueuedRequest,
+};
 use larkspring_proto::residency as wire;
 use larkspring_proto::residency::from_agent::Kind as AgentMessage;
 use larkspring_proto::residency::from_entry::Kind as EntryMessage;
@@ -29,9 +31,9 @@
 use super::publish::{EngineState, LastUpdate, MIN_PUBLISH_INTERVAL, PUBLISH_INTERVAL};
 use crate::direct::cfg::AgentCfg;
 use crate::direct::edge::Change;
-use crate::direct::limits::{read_want, write_grant};
-use crate::direct::logs::{self, Line};
-use crate::direct::quarantine::{read_end, Findings};
+use crate::direct::limits::{decode_unit_request, encode_grant};
+use crate::direct::logs::{self, LineKind};
+use crate::direct::quarantine::{decode_crash, CrashReports};
 use crate::direct::stats::Stats;
 
 /// Number of an entry's connection, unique during this agent's life.
@@ -57,7 +59,7 @@
 /// Decides which orders the engine gets, and answers the entries.
 pub(super) struct Controller {
     pub(super) holder: String,
-    pub(super) slots: Slots,
+    pub(super) slots: EngineScheduler,
     pub(super) commands: Sender<Command>,
     pub(super) stats: Arc<Stats>,
     pub(super) entries: HashMap<EntryNumber, EntryConnection>,
@@ -66,7 +68,7 @@
     /// Requests that wait for their adapter.
     waiting: HashMap<AttemptId, WaitingRequest>,
     /// Granted requests by hall and adapter.
-    demand: Demand<(HallId, TargetHash)>,
+    demand: RequestRates<(HallId, TargetHash)>,
     hall: HallId,
     next_attempt: AttemptId,
     /// The adapters and base models that the engine may hold, by the highest routing
@@ -81,13 +83,13 @@
     pub(super) last_update: LastUpdate,
     /// Prefill backlog: prompt tokens of the granted requests that the engine has not
     /// processed yet.
-    pub(super) prefill_backlog: Unread,
+    pub(super) prefill_backlog: PrefillBacklog,
     /// Buckets of the workspaces that this agent owns.
-    limits: Home,
+    limits: BucketOwner,
     /// Permits for the runs of which this agent is the issuer.
-    pub(super) permits: Permits,
+    pub(super) permits: PermitIssuer,
     /// Crash reports known to this agent.
-    findings: Arc<Findings>,
+    findings: Arc<CrashReports>,
     /// Requests that were running before this agent started, on adapters that the engine
     /// has not reported yet.
     pub(super) unreported_requests: Vec<(AttemptId, Target)>,
@@ -124,31 +126,31 @@
         cfg: &AgentCfg,
         commands: Sender<Command>,
         stats: Arc<Stats>,
-        findings: Arc<Findings>,
+        findings: Arc<CrashReports>,
     ) -> Self {
         let now = Instant::now();
-        let uses = |mechanism| cfg.without.uses(mechanism);
-        let limits = Limits {
-            slots: 0,
+        let uses = |mechanism| cfg.disabled_mechanisms.is_enabled(mechanism);
+        let limits = EngineLimits {
+            adapter_slots: 0,
             max_running: usize::MAX,
             max_waiting: MAX_WAITING_REQUESTS,
             max_loading: MAX_CONCURRENT_LOADS,
-            paced: uses(Mechanism::PacedFetches),
-            patience: if uses(Mechanism::Retiring) {
+            limits_fetches: uses(Mechanism::PacedFetches),
+            busy_eviction_delay: if uses(Mechanism::Retiring) {
                 RETIRE_ADAPTER_AFTER
             } else {
                 Duration::MAX
             },
-            settle: Duration::ZERO,
-            eviction: Eviction::Heat,
-            order: match uses(Mechanism::WorthOrder) {
-                true => LoadOrder::Worth,
+            initial_no_unload: Duration::ZERO,
+            eviction: EvictionPolicy::LeastUsed,
+            load_order: match uses(Mechanism::UtilityOrder) {
+                true => LoadOrder::Utility,
                 false => LoadOrder::Urgency,
             },
         };
         Self {
             holder: cfg.process.vm.to_string(),
-            slots: Slots::new(limits),
+            slots: EngineScheduler::new(limits),
             commands,
             stats,
             entries: HashMap::new(),
@@ -164,14 +166,14 @@
                 state: EngineState::default(),
                 at: now,
                 due: false,
-                prefill_backlog: Unread::new(now, 0),
+                prefill_backlog: PrefillBacklog::new(now, 0),
             },
-            prefill_backlog: Unread::new(now, 0),
+            prefill_backlog: PrefillBacklog::new(now, 0),
             waiting: HashMap::new(),
-            demand: Demand::default(),
+            demand: RequestRates::default(),
             hall: cfg.process.hall.clone(),
-            limits: Home::new(cfg.process.limits),
-            permits: Permits::default(),
+            limits: BucketOwner::new(cfg.process.limits),
+            permits: PermitIssuer::default(),
             findings,
             unreported_requests: Vec::new(),
         }
@@ -256,10 +258,10 @@
                 if let Some(entry) = self.entries.get_mut(&number) {
                     entry.hall = hello.hall.as_str().into();
                 }
-                if let Some(findings) = self.findings.all() {
+                if let Some(findings) = self.findings.latest() {
                     self.send(number, AgentMessage::Findings(findings));
                 }
-                logs::dependency(&format!("entry {}", hello.entry), true, "");
+                logs::log_dependency(&format!("entry {}", hello.entry), true, "");
             }
             EntryMessage::Engine(declared) => {
                 if declared.routing_version > self.declared.routing_version {
@@ -273,12 +275,14 @@
             EntryMessage::Reserve(req) => self.grant_units(now, number, &req),
             EntryMessage::Permit(req) => self.answer_permit_request(now, number, &req),
             EntryMessage::EndedUnder(crashes) => {
-                let record = |e: &wire::End| self.findings.ended(e.content, read_end(e));
+                let record = |e: &wire::End| {
+                    self.findings.record_crash(e.content, decode_crash(e))
+                };
                 let findings = crashes.ends.iter().filter_map(record).collect();
                 self.forward_crash_reports(findings);
             }
             EntryMessage::Findings(received) => {
-                let new_reports = self.findings.learn(&received);
+                let new_reports = self.findings.apply(&received);
                 self.forward_crash_reports(new_reports);
             }
         }
@@ -298,15 +302,18 @@
 
     /// Answers a request for units, as the bucket owner.
     fn grant_units(&mut self, now: Instant, number: EntryNumber, req: &wire::Reserve) {
-        let requests: Vec<_> = req.wants.iter().map(read_want).collect();
-        let told = presence::Told {
-            time: Duration::from_millis(req.told_ms),
-            joined: req.joined,
+        let requests: Vec<_> = req.wants.iter().map(decode_unit_request).collect();
+        let told = presence::ServingTime {
+            elapsed: Duration::from_millis(req.told_ms),
+            is_new_owner: req.joined,
         };
         let entries = self.entries.len().max(req.entries as usize);
-        let grants = self.limits.ask(now, &Ask { told, entries, wants: &requests });
+        let grants = self.limits.grant_units(
+            now,
+            &UnitsRequest { serving_time: told, entry_count: entries, units: &requests },
+        );
         if !grants.is_empty() {
-            let grants = grants.iter().map(write_grant).collect();
+            let grants = grants.iter().map(encode_grant).collect();
             self.send(number, AgentMessage::Reserved(wire::Reserved { grants }));
         }
     }
@@ -318,18 +325,18 @@
         number: EntryNumber,
         req: &wire::PermitAsk,
     ) {
-        let ask = permits::Ask {
+        let ask = permits::PermitQuery {
             run: req.run,
             rate: Rate::from_millis(req.rate_millis),
             age: Duration::from_millis(req.age_ms),
-            home: match req.second {
-                true => permits::Home::Second,
-                false => permits::Home::First,
+            issuer: match req.second {
+                true => permits::IssuerRole::Secondary,
+                false => permits::IssuerRole::Primary,
             },
         };
-        let wait_ms = match self.permits.ask(now, &ask) {
-            Verdict::Granted => 0,
-            Verdict::Denied(wait) => wait.as_millis().max(1) as u64,
+        let wait_ms = match self.permits.request(now, &ask) {
+            PermitResponse::Granted => 0,
+            PermitResponse::Denied(wait) => wait.as_millis().max(1) as u64,
         };
         self.send(
             number,
@@ -344,18 +351,18 @@
         self.holds.insert((number, hold.id), id);
         self.holds_by_attempt.insert(id, (number, hold.id));
         if hold.in_use {
-            if !self.slots.adopt(now, id, &target) {
+            if !self.slots.adopt_running(now, id, &target) {
                 self.unreported_requests.push((id, target));
             }
             return;
         }
-        let req = Waiting {
+        let req = QueuedRequest {
             target,
             priority: hold.priority,
-            since: now,
+            arrived_at: now,
             deadline: now + Duration::from_millis(hold.wait_ms),
-            due: now + Duration::from_millis(hold.in_time_ms),
-            worth: hold.worth,
+            soft_deadline: now + Duration::from_millis(hold.in_time_ms),
+            utility: hold.worth,
         };
         let adapter = req.target.hash();
         self.waiting
@@ -370,8 +377,8 @@
         self.holds_by_attempt.remove(&id);
         self.waiting.remove(&id);
         self.unreported_requests.retain(|(waiting, _)| *waiting != id);
-        if !self.slots.abandon(id) {
-            self.slots.ended(now, id);
+        if !self.slots.cancel(id) {
+            self.slots.record_request_end(now, id);
         }
     }
 
@@ -381,7 +388,7 @@
         }
         let keys: Vec<_> =
             self.holds.keys().filter(|(n, _)| *n == number).copied().collect();
-        logs::dependency(
+        logs::log_dependency(
             &format!("entry connection {number}"),
             false,
             "the connection has ended",
@@ -432,7 +439,7 @@
         if entry.hall == self.hall {
             return false;
         }
-        copy_pays(self.demand.count(now, &(entry.hall.clone(), adapter)))
+        should_load_in_hall(self.demand.record(now, &(entry.hall.clone(), adapter)))
     }
 
     fn refuse(&mut self, id: AttemptId, refusal: &Refusal, request: &str) {
@@ -440,7 +447,7 @@
         let Some(key) = self.holds_by_attempt.remove(&id) else { return };
         self.holds.remove(&key);
         let retry_after = refusal.retry_after.unwrap_or_default();
-        if logs::allows(Line::Unserved) {
+        if logs::is_allowed(LineKind::Failed) {
             tracing::info!(
                 event = "hold refused",
                 request,
