--- a/crates/larkspring/src/direct/agent/driver.rs
+++ b/crates/larkspring/src/direct/agent/driver.rs
@@ -7,17 +7,17 @@
 use bytes::Bytes;
 use futures_lite::future::poll_fn;
 use http::{Request, Response};
-use larkspring_core::call_time::{CallBounds, CallTime};
-use larkspring_core::fleet::rate::RateWord;
+use larkspring_core::call_time::{CallTimeout, TimeoutBounds};
+use larkspring_core::fleet::rate::AdvertisedRate;
 use larkspring_core::ids::Incarnation;
 use smol::channel::{self, Receiver, Sender};
 
 use super::controller::Event;
-use crate::direct::conn::Conn;
-use crate::direct::edge::{Order, OrderEnd, Protocol, Report};
+use crate::direct::conn::EndpointConn;
+use crate::direct::edge::{Order, OrderOutcome, Protocol, Report};
 use crate::direct::stats::Stats;
-use crate::direct::unknown::Place;
-use crate::exec::{self, within};
+use crate::direct::unknown::NameSource;
+use crate::exec::{self, with_timeout};
 
 /// A command for the driver.
 #[derive(Debug)]
@@ -35,7 +35,7 @@
 pub(super) enum CommandResult {
     Report(Result<Report, String>),
     RunName(Result<Incarnation, String>),
-    Order(Order, Result<OrderEnd, String>),
+    Order(Order, Result<OrderOutcome, String>),
 }
 
 /// Time limit for the answer to a report request or an order. The engine is on the same
@@ -43,8 +43,10 @@
 /// sent meanwhile, so a lost answer delays all other loads by this time: with a fixed
 /// limit of 250 ms, 547 of 11,000 orders were not answered, and single loads waited 1.6 s
 /// behind them.
-const ANSWER_TIMEOUT: CallBounds =
-    CallBounds { least: Duration::from_millis(30), most: Duration::from_millis(250) };
+const ANSWER_TIMEOUT: TimeoutBounds = TimeoutBounds {
+    shortest: Duration::from_millis(30),
+    longest: Duration::from_millis(250),
+};
 /// Time limit for the health check: its answer waits for a batch slot in the engine.
 const HEALTH_TIMEOUT: Duration = Duration::from_millis(250);
 /// Limits the size of a report in bytes.
@@ -54,8 +56,8 @@
     engine: SocketAddr,
     protocol: Arc<dyn Protocol>,
     stats: Arc<Stats>,
-    conn: Option<Conn>,
-    answer_time: CallTime,
+    conn: Option<EndpointConn>,
+    answer_time: CallTimeout,
     events: Sender<Event>,
     /// The kind of call whose answer last advertised a rate: answers of other kinds may
     /// never state a rate, so their lack of one does not end the limit.
@@ -78,7 +80,7 @@
     events: Sender<Event>,
 ) -> Sender<Command> {
     let (tx, rx) = channel::bounded(1);
-    let answer_time = CallTime::new(ANSWER_TIMEOUT);
+    let answer_time = CallTimeout::new(ANSWER_TIMEOUT);
     let driver = Driver {
         engine,
         protocol,
@@ -112,20 +114,23 @@
     }
 
     async fn report(&mut self) -> Result<Report, String> {
-        let res = self.call_adaptive(Call::Report, self.protocol.report()).await?;
-        self.protocol.read_report(&res).map_err(|e| e.to_string())
+        let res =
+            self.call_adaptive(Call::Report, self.protocol.report_request()).await?;
+        self.protocol.decode_report(&res).map_err(|e| e.to_string())
     }
 
     async fn identify(&mut self, path: &str) -> Result<Incarnation, String> {
-        let req = self.protocol.health(path).ok_or("the health path is not valid")?;
+        let req =
+            self.protocol.health_request(path).ok_or("the health path is not valid")?;
         let res = self.call(Call::Health, req, HEALTH_TIMEOUT).await?;
-        let run = self.protocol.read_health(&res);
+        let run = self.protocol.decode_health(&res);
         run.ok_or_else(|| format!("answered {} without a run name", res.status()))
     }
 
-    async fn order(&mut self, order: &Order) -> Result<OrderEnd, String> {
-        let res = self.call_adaptive(Call::Order, self.protocol.order(order)).await?;
-        Ok(self.protocol.read_order(&res))
+    async fn order(&mut self, order: &Order) -> Result<OrderOutcome, String> {
+        let res =
+            self.call_adaptive(Call::Order, self.protocol.order_request(order)).await?;
+        Ok(self.protocol.decode_order(&res))
     }
 
     /// Calls the engine with the time limit that its recent answers call for.
@@ -135,10 +140,10 @@
         req: Request<Bytes>,
     ) -> Result<Response<Bytes>, String> {
         let sent_at = Instant::now();
-        let res = self.call(kind, req, self.answer_time.limit()).await;
+        let res = self.call(kind, req, self.answer_time.current()).await;
         match &res {
-            Ok(_) => self.answer_time.answered(sent_at.elapsed()),
-            Err(_) => self.answer_time.lost(),
+            Ok(_) => self.answer_time.record_answer(sent_at.elapsed()),
+            Err(_) => self.answer_time.record_loss(),
         }
         res
     }
@@ -154,13 +159,15 @@
         let work = async {
             let mut conn = match reuse(self.conn.take()).await {
                 Some(conn) => conn,
-                None => Conn::open(engine, limit).await.map_err(|e| e.to_string())?,
+                None => {
+                    EndpointConn::open(engine, limit).await.map_err(|e| e.to_string())?
+                }
             };
             let res = conn.fetch(engine, req, MAX_REPORT_BYTES).await;
             let res = res.map_err(|e| e.to_string())?;
             Ok((res, conn))
         };
-        let result: Option<Result<_, String>> = within(limit, work).await;
+        let result: Option<Result<_, String>> = with_timeout(limit, work).await;
         let (res, conn) = result.ok_or("no answer in time")??;
         self.conn = Some(conn);
         self.forward_notice(kind, sent_at, &res);
@@ -169,16 +176,16 @@
 
     /// Sends the notice from an answer's headers to the controller.
     fn forward_notice(&mut self, kind: Call, sent_at: Instant, res: &Response<Bytes>) {
-        let unknown = self.protocol.unknown_words(res.headers());
-        self.stats.unknown_words(Place::Answer, &unknown);
-        let mut notice = self.protocol.notice(res.status(), res.headers());
+        let unknown = self.protocol.unknown_names(res.headers());
+        self.stats.count_unknown_names(NameSource::Answer, &unknown);
+        let mut notice = self.protocol.decode_notice(res.status(), res.headers());
         match notice.rate {
-            RateWord::Named(_) => self.rate_advertised_by = Some(kind),
-            RateWord::Silent if self.rate_advertised_by == Some(kind) => {
+            AdvertisedRate::Limit(_) => self.rate_advertised_by = Some(kind),
+            AdvertisedRate::Missing if self.rate_advertised_by == Some(kind) => {
                 self.rate_advertised_by = None;
             }
             _ if notice.is_empty() => return,
-            _ => notice = notice.without_silence(),
+            _ => notice = notice.ignoring_missing_rate(),
         }
         // The controller lives as long as the agent.
         let _ = self.events.try_send(Event::EngineNotice { sent_at, notice });
@@ -186,7 +193,7 @@
 }
 
 /// Returns the idle connection, unless the engine has closed it.
-async fn reuse(conn: Option<Conn>) -> Option<Conn> {
+async fn reuse(conn: Option<EndpointConn>) -> Option<EndpointConn> {
     let mut conn = conn?;
     let ready = poll_fn(|cx| std::task::Poll::Ready(conn.is_ready(cx))).await;
     ready.then_some(conn)
--- a/crates/larkspring/src/direct/agent/mod.rs
+++ b/crates/larkspring/src/direct/agent/mod.rs
@@ -29,19 +29,19 @@
 use self::controller::Controller;
 use self::state_cache::StateCache;
 use super::cfg::AgentCfg;
-use super::edge::{Directory, Protocol, QuarantineStore};
+use super::edge::{Protocol, QuarantineStore, StateStore};
 use super::entry::StartError;
-use super::quarantine::Findings;
+use super::quarantine::CrashReports;
 use super::stats::Stats;
 use super::{logs, side};
 use crate::exec;
-use crate::rpc::serve::Stopper;
+use crate::rpc::serve::ShutdownHandle;
 
 /// A running agent.
 pub struct Agent {
     /// The address at which entries connect.
     pub addr: SocketAddr,
-    stopper: Stopper,
+    stopper: ShutdownHandle,
     _tasks: Vec<Task<()>>,
 }
 
@@ -53,7 +53,7 @@
     pub async fn start(
         cfg: AgentCfg,
         protocol: Arc<dyn Protocol>,
-        directory: Arc<dyn Directory>,
+        directory: Arc<dyn StateStore>,
         quarantine: Arc<dyn QuarantineStore>,
     ) -> Result<Self, StartError> {
         let listener = TcpListener::bind(cfg.listen).await;
@@ -64,14 +64,14 @@
         let (tx, rx) = channel::unbounded();
         let commands = driver::start(cfg.engine, protocol, stats.clone(), tx.clone());
         let metrics = cfg.process.metrics;
-        let findings = Arc::new(Findings::new(stats.clone()));
+        let findings = Arc::new(CrashReports::new(stats.clone()));
         let state = StateCache::new(directory, stats.clone(), &cfg.process);
         let (metrics_stats, metrics_findings, metrics_state) =
             (stats.clone(), findings.clone(), state.clone());
         let handler = move |_: &str| {
-            metrics_findings.show();
+            metrics_findings.write_metrics();
             metrics_state.write_metrics();
-            (StatusCode::OK, metrics_stats.text())
+            (StatusCode::OK, metrics_stats.encode())
         };
         let served = side::serve(metrics, Arc::new(handler)).await;
         let served = served.map_err(|e| StartError::Listen("metrics", metrics, e))?;
@@ -87,7 +87,7 @@
             served,
             exec::spawn(controller.run(rx)),
             exec::spawn(quarantine_sync::run(quarantine, findings, tx.clone())),
-            exec::spawn(logs::report_left_out()),
+            exec::spawn(logs::log_dropped_lines()),
         ];
         let stopper = serve::start(listener, tx, state);
         Ok(Self { addr, stopper, _tasks: tasks })
--- a/crates/larkspring/src/direct/agent/orders.rs
+++ b/crates/larkspring/src/direct/agent/orders.rs
@@ -2,15 +2,15 @@
 
 use std::time::{Duration, Instant};
 
-use larkspring_core::fleet::availability::{Availability, News, Notice};
+use larkspring_core::fleet::availability::{Availability, AvailabilityChanges, Notice};
 use larkspring_core::fleet::permits::run_hash;
 use larkspring_core::ids::{Incarnation, Target};
 
 use super::controller::{Controller, MAX_REPORT_FAILURES};
 use super::driver::Command;
-use crate::direct::edge::{Change, Order, OrderEnd, Report};
-use crate::direct::logs::{self, Line};
-use crate::direct::unknown::Place;
+use crate::direct::edge::{Change, Order, OrderOutcome, Report};
+use crate::direct::logs::{self, LineKind};
+use crate::direct::unknown::NameSource;
 
 /// The engine's state as this agent knows it.
 #[derive(Default)]
@@ -74,13 +74,13 @@
         let expects_late_order =
             self.engine.late_order_until.is_some_and(|until| until > now);
         let free = usize::from(expects_late_order && slots > 1);
-        self.slots.set_places(slots - free);
+        self.slots.set_adapter_slots(slots - free);
     }
 
     /// Gives the driver its next command, if the driver is idle.
     pub(super) fn send_next_command(&mut self, now: Instant) {
         // An engine in backoff gets neither orders nor report requests.
-        if self.driver_busy || self.engine.availability.rests_for(now).is_some() {
+        if self.driver_busy || self.engine.availability.remaining_backoff(now).is_some() {
             return;
         }
         self.cancel_unneeded_loads();
@@ -108,7 +108,7 @@
                 change: change.clone(),
                 orders_taken: engine.report.orders_taken,
                 incarnation: engine.run_name.clone(),
-                holder: self.holder.clone(),
+                sender: self.holder.clone(),
             }),
             None => return,
         };
@@ -130,7 +130,7 @@
             if may_be_accepted || self.slots.demand(target).is_some() {
                 return;
             }
-            self.slots.not_loaded(target);
+            self.slots.cancel_load(target);
             self.queued_changes.pop_front();
         }
     }
@@ -142,15 +142,15 @@
         sent_at: Instant,
         notice: Notice,
     ) {
-        let changes = self.engine.availability.hear(now, sent_at, notice, 0.0);
+        let changes = self.engine.availability.apply_notice(now, sent_at, notice, 0.0);
         if changes.is_any() {
-            let rate = self.engine.availability.rate_named();
+            let rate = self.engine.availability.advertised_rate();
             tracing::info!(
                 event = match changes {
-                    News { leaves: true, .. } => "engine leaves",
-                    News { rests: true, .. } => "engine rests",
-                    News { .. } if rate.is_some() => "engine names a rate",
-                    News { .. } => "engine names no rate any more",
+                    AvailabilityChanges { draining: true, .. } => "engine leaves",
+                    AvailabilityChanges { backoff: true, .. } => "engine rests",
+                    AvailabilityChanges { .. } if rate.is_some() => "engine names a rate",
+                    AvailabilityChanges { .. } => "engine names no rate any more",
                 },
                 endpoint = self.engine.run_name.as_deref(),
                 rest_ms = notice.rest.map(|rest| rest.as_millis() as u64),
@@ -158,25 +158,25 @@
             );
         }
         if let (Some(run), Some(rate)) =
-            (&self.engine.run_name, self.engine.availability.rate_named())
+            (&self.engine.run_name, self.engine.availability.advertised_rate())
         {
-            self.permits.told(now, run_hash(run), rate, Duration::ZERO);
+            self.permits.update_rate(now, run_hash(run), rate, Duration::ZERO);
         }
-        if let Some(left) = self.engine.availability.rests_for(now) {
+        if let Some(left) = self.engine.availability.remaining_backoff(now) {
             // Requests that wait for an adapter go to other engines; the next report
             // makes this engine available again.
-            self.slots.engine_lost();
+            self.slots.record_unreachable();
             self.next_report_at = now + left;
         }
     }
 
     pub(super) fn apply_report(&mut self, now: Instant, report: Report) {
-        self.stats.report(true);
-        self.stats.unknown_words(Place::Report, &report.unknown);
+        self.stats.count_report(true);
+        self.stats.count_unknown_names(NameSource::Report, &report.unknown);
         self.update_slot_limit(now);
         let run = self.current_run(&report);
         if self.engine.report_failures >= MAX_REPORT_FAILURES {
-            logs::dependency("engine", true, "");
+            logs::log_dependency("engine", true, "");
         }
         self.engine.report_failures = 0;
         let bases = &self.declared.bases;
@@ -188,7 +188,7 @@
             self.queued_changes.retain(|change| !is_applied(change, report));
             let queued = &self.queued_changes;
             let ordered = |t: &Target| !queued.iter().any(|c| affects(c, t));
-            let failed = self.slots.engine_is_now(
+            let failed = self.slots.apply_current_report(
                 now,
                 &run,
                 &report.adapters,
@@ -200,9 +200,9 @@
             }
             let slots = &mut self.slots;
             self.unreported_requests
-                .retain(|(id, target)| !slots.adopt(now, *id, target));
+                .retain(|(id, target)| !slots.adopt_running(now, *id, target));
         } else {
-            self.slots.engine_fills(&run);
+            self.slots.record_base_loading(&run);
             self.load_base();
         }
         self.next_report_at = now + self.report_interval(now);
@@ -228,16 +228,16 @@
     }
 
     pub(super) fn report_failed(&mut self, now: Instant, cause: &str) {
-        self.stats.report(false);
+        self.stats.count_report(false);
         // A refusal that asks for backoff is an answer, so the engine has not failed.
-        if self.engine.availability.rests_for(now).is_some() {
+        if self.engine.availability.remaining_backoff(now).is_some() {
             return;
         }
         self.engine.report_failures += 1;
         if self.engine.report_failures == MAX_REPORT_FAILURES {
-            logs::dependency("engine", false, cause);
+            logs::log_dependency("engine", false, cause);
             self.log_engine_lost(now);
-            self.slots.engine_lost();
+            self.slots.record_unreachable();
         }
         self.next_report_at = now + REPORT_INTERVAL;
     }
@@ -258,7 +258,7 @@
                 self.update_slot_limit(now);
             }
             Err(cause) => {
-                if logs::allows(Line::Order) {
+                if logs::is_allowed(LineKind::Order) {
                     let path = &self.declared.health_path;
                     tracing::warn!(event = "engine not identified", cause, path);
                 }
@@ -271,58 +271,64 @@
         &mut self,
         now: Instant,
         order: Order,
-        end: Result<OrderEnd, String>,
+        end: Result<OrderOutcome, String>,
     ) {
         self.log_order(&order, &end);
         self.engine.last_order = Some((now, order.change.clone()));
         if end.is_err() {
             self.engine.last_unanswered_at = Some(now);
         }
-        if let (Change::Load(target), Ok(OrderEnd::UnderWay) | Err(_)) =
+        if let (Change::Load(target), Ok(OrderOutcome::UnderWay) | Err(_)) =
             (&order.change, &end)
         {
-            self.slots.load_ordered(now, target);
+            self.slots.record_load_order(now, target);
         }
         match (&order.change, &end) {
             (Change::Load(target), Err(_)) => {
                 self.engine.unanswered_load = Some(target.clone())
             }
-            (_, Ok(OrderEnd::Done | OrderEnd::UnderWay)) => {
+            (_, Ok(OrderOutcome::Done | OrderOutcome::UnderWay)) => {
                 self.engine.unanswered_load = None
             }
             _ => {}
         }
         match end {
-            Ok(OrderEnd::Done) => {
+            Ok(OrderOutcome::Done) => {
                 self.engine.report.orders_taken += 1;
                 match &order.change {
                     Change::LoadBase(_) => self.next_report_at = now,
-                    Change::Load(target) => self.slots.loaded(now, target, true),
-                    Change::Unload(target) => self.slots.unloaded(now, target, true),
+                    Change::Load(target) => self.slots.record_load_end(now, target, true),
+                    Change::Unload(target) => {
+                        self.slots.record_unload_end(now, target, true)
+                    }
                 }
             }
-            Ok(OrderEnd::UnderWay) => {
+            Ok(OrderOutcome::UnderWay) => {
                 self.engine.report.orders_taken += 1;
                 self.engine.last_load_at = Some(now);
                 self.next_report_at = self.next_report_at.min(now + FAST_REPORT_INTERVAL);
             }
-            Ok(OrderEnd::Moved) => {
+            Ok(OrderOutcome::Moved) => {
                 self.engine.run_name = None;
                 self.queued_changes.push_front(order.change);
                 self.next_report_at = now;
             }
-            Ok(OrderEnd::Stale) | Err(_) => {
+            Ok(OrderOutcome::Stale) | Err(_) => {
                 // The report shows whether the order was accepted. If not, the order is
                 // sent again, with a number of orders taken that rules out the earlier
                 // order.
                 self.queued_changes.push_front(order.change);
                 self.next_report_at = now;
             }
-            Ok(OrderEnd::Refused(_)) => {
+            Ok(OrderOutcome::Refused(_)) => {
                 match &order.change {
                     Change::LoadBase(_) => {}
-                    Change::Load(target) => self.slots.loaded(now, target, false),
-                    Change::Unload(target) => self.slots.unloaded(now, target, false),
+                    Change::Load(target) => {
+                        self.slots.record_load_end(now, target, false)
+                    }
+                    Change::Unload(target) => {
+                        self.slots.record_unload_end(now, target, false)
+                    }
                 }
                 self.next_report_at = now;
             }
@@ -381,22 +387,22 @@
         );
     }
 
-    fn log_order(&self, order: &Order, end: &Result<OrderEnd, String>) {
+    fn log_order(&self, order: &Order, end: &Result<OrderOutcome, String>) {
         let (kind, of) = match &order.change {
             Change::LoadBase(base) => ("load base", base.to_string()),
             Change::Load(target) => ("load", target.to_string()),
             Change::Unload(target) => ("unload", target.to_string()),
         };
         let answer = match end {
-            Ok(OrderEnd::Done) => "done",
-            Ok(OrderEnd::UnderWay) => "under way",
-            Ok(OrderEnd::Stale) => "stale",
-            Ok(OrderEnd::Moved) => "moved",
-            Ok(OrderEnd::Refused(_)) => "refused",
+            Ok(OrderOutcome::Done) => "done",
+            Ok(OrderOutcome::UnderWay) => "under way",
+            Ok(OrderOutcome::Stale) => "stale",
+            Ok(OrderOutcome::Moved) => "moved",
+            Ok(OrderOutcome::Refused(_)) => "refused",
             Err(_) => "no answer",
         };
-        self.stats.order(kind, answer);
-        if logs::allows(Line::Order) {
+        self.stats.count_order(kind, answer);
+        if logs::is_allowed(LineKind::Order) {
             let taken = order.orders_taken;
             tracing::info!(event = "order", kind, of, answer, taken, end = ?end);
         }
--- a/crates/larkspring/src/direct/agent/publish.rs
+++ b/crates/larkspring/src/direct/agent/publish.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use larkspring_core::fleet::rate::Rate;
-use larkspring_core::fleet::reading::Unread;
+use larkspring_core::fleet::reading::PrefillBacklog;
 use larkspring_core::ids::{HallId, Incarnation, Target, TargetHash};
 use larkspring_proto::residency::from_agent::Kind as AgentMessage;
 use larkspring_proto::residency::{self as wire, Engagement};
@@ -18,7 +18,7 @@
     /// Whether there are changes that were not published yet.
     pub(super) due: bool,
     /// The prefill backlog as the entries estimate it.
-    pub(super) prefill_backlog: Unread,
+    pub(super) prefill_backlog: PrefillBacklog,
 }
 
 /// The part of the state whose changes are published at once; the other fields change
@@ -54,8 +54,8 @@
         let since = now.saturating_duration_since(self.last_update.at);
         let more = self
             .prefill_backlog
-            .at(now)
-            .saturating_sub(self.last_update.prefill_backlog.at(now));
+            .tokens_at(now)
+            .saturating_sub(self.last_update.prefill_backlog.tokens_at(now));
         self.last_update.due =
             self.last_update.state != current || more >= MIN_BACKLOG_CHANGE_TOKENS;
         let pause = match self.last_update.due {
@@ -96,20 +96,20 @@
     }
 
     fn engine_state(&self, now: Instant) -> EngineState {
-        let (resident, loading) = self.slots.held();
+        let (resident, loading) = self.slots.resident_and_loading();
         EngineState {
             engagement: self.engagement(now).into(),
             resident: resident.into_iter().map(Target::hash).collect(),
             loading: loading.into_iter().map(Target::hash).collect(),
             entries: self.entries.len(),
-            draining: self.engine.availability.leaves(),
-            advertised_rate: self.engine.availability.rate_named(),
+            draining: self.engine.availability.is_draining(),
+            advertised_rate: self.engine.availability.advertised_rate(),
             run: self.engine.run_name.clone().map(|name| (name, self.engine.run_count)),
         }
     }
 
     fn engagement(&self, now: Instant) -> Engagement {
-        let accepts = self.engine.availability.rests_for(now).is_none();
+        let accepts = self.engine.availability.remaining_backoff(now).is_none();
         match (
             self.engine.report_failures < MAX_REPORT_FAILURES && accepts,
             &self.engine.run,
@@ -135,8 +135,8 @@
         wire::State {
             engagement: new.engagement,
             held: self.slots.running() as u32,
-            free_places: self.slots.free_places() as u32,
-            loads_ahead: self.slots.loads_ahead() as u32,
+            free_places: self.slots.free_adapter_slots() as u32,
+            loads_ahead: self.slots.queued_loads() as u32,
             entries: new.entries as u32,
             entries_in_hall: 0,
             whole: false,
@@ -144,7 +144,7 @@
             rate_millis: new.advertised_rate.map(Rate::as_millis),
             resident: new.resident.difference(&old.resident).copied().collect(),
             loading: new.loading.difference(&old.loading).copied().collect(),
-            unread_tokens: self.prefill_backlog.at(now),
+            unread_tokens: self.prefill_backlog.tokens_at(now),
             run: run.map(|(name, _)| name.to_string()).unwrap_or_default(),
             gone: before.filter(|hash| !held(new, hash)).copied().collect(),
         }
--- a/crates/larkspring/src/direct/agent/quarantine_sync.rs
+++ b/crates/larkspring/src/direct/agent/quarantine_sync.rs
@@ -24,13 +24,13 @@
 use super::controller::Event;
 use crate::direct::edge::QuarantineStore;
 use crate::direct::logs;
-use crate::direct::quarantine::Findings;
+use crate::direct::quarantine::CrashReports;
 use crate::platform::PlatformError;
 
 /// The stored fingerprints and lifts as this agent knows them.
 struct QuarantineSync {
     store: Arc<dyn QuarantineStore>,
-    findings: Arc<Findings>,
+    findings: Arc<CrashReports>,
     events: Sender<Event>,
     stored: BTreeSet<ContentHash>,
     /// The store's epoch in which the fingerprints were stored.
@@ -58,7 +58,7 @@
 /// Synchronises the store with the crash reports, without end.
 pub(super) async fn run(
     store: Arc<dyn QuarantineStore>,
-    findings: Arc<Findings>,
+    findings: Arc<CrashReports>,
     events: Sender<Event>,
 ) {
     let (stored, listed_at) = (BTreeSet::new(), Instant::now());
@@ -140,7 +140,7 @@
     async fn rewrite_after_restore(&mut self) -> Result<(), PlatformError> {
         let epoch = self.store.epoch();
         for content in self.lifted.keys() {
-            self.store.lift(*content).await?;
+            self.store.remove_and_record_lift(*content).await?;
         }
         self.stored.clear();
         self.epoch = epoch;
@@ -155,7 +155,7 @@
     ) -> Result<(), PlatformError> {
         if self.lifted.contains_key(&content) {
             // Crashes were counted again after the lift.
-            self.store.forget_lift(content).await?;
+            self.store.delete_lift(content).await?;
             self.lifted.remove(&content);
         }
         self.apply_lifts().await?;
@@ -183,10 +183,10 @@
     }
 
     async fn apply_lift(&mut self, content: ContentHash) {
-        tracing::warn!(event = "request lifted", content = logs::hash(content));
+        tracing::warn!(event = "request lifted", content = logs::format_hash(content));
         self.stored.remove(&content);
         self.lifted.insert(content, Instant::now());
-        let cleared = self.findings.answered(content);
+        let cleared = self.findings.record_answer(content);
         self.forward(cleared.into_iter().collect()).await;
     }
 
@@ -195,7 +195,7 @@
         let old: Vec<_> =
             self.lifted.iter().filter(|(_, at)| is_old(at)).map(|(c, _)| *c).collect();
         for content in old {
-            self.store.forget_lift(content).await?;
+            self.store.delete_lift(content).await?;
             self.lifted.remove(&content);
         }
         Ok(())
--- a/crates/larkspring/src/direct/agent/serve.rs
+++ b/crates/larkspring/src/direct/agent/serve.rs
@@ -15,7 +15,7 @@
 use super::controller::{EntryNumber, Event};
 use super::state_cache::StateCache;
 use crate::exec;
-use crate::rpc::serve::{serve, Stopper};
+use crate::rpc::serve::{serve, ShutdownHandle};
 
 struct Service {
     events: Sender<Event>,
@@ -28,7 +28,7 @@
     listener: TcpListener,
     events: Sender<Event>,
     state: Arc<StateCache>,
-) -> Stopper {
+) -> ShutdownHandle {
     let service = Arc::new(Service { events, next_number: AtomicU64::new(1), state });
     serve(listener, ResidencyServer::from_arc(service))
 }
--- a/crates/larkspring/src/direct/agent/state_cache.rs
+++ b/crates/larkspring/src/direct/agent/state_cache.rs
@@ -12,27 +12,29 @@
 
 use bytes::Bytes;
 use event_listener::Event;
-use larkspring_core::fleet::reads::StorePace;
+use larkspring_core::fleet::reads::StoreReadTiming;
 use larkspring_core::ids::StorePoint;
 use larkspring_proto::residency as wire;
 use parking_lot::Mutex;
 use smol::Timer;
 
-use crate::clock::Moment;
+use crate::clock::BootInstant;
 use crate::direct::cfg::ProcessCfg;
-use crate::direct::edge::{After, Ask, Directory, Kind, Read, State};
+use crate::direct::edge::{
+    ChangeQuery, EncodedState, ReadOutcome, StateKind, StateQuery, StateStore,
+};
 use crate::direct::logs;
 use crate::direct::reader::StoreReader;
 use crate::direct::stats::Stats;
-use crate::exec::{self, within};
+use crate::exec::{self, with_timeout};
 use crate::platform::PlatformError;
 
 /// The declared state kept by an agent.
 pub(super) struct StateCache {
     store: StoreReader,
     stats: Arc<Stats>,
-    paces: [StorePace; Kind::ALL.len()],
-    feeds: [Feed; Kind::ALL.len()],
+    paces: [StoreReadTiming; StateKind::ALL.len()],
+    feeds: [Feed; StateKind::ALL.len()],
 }
 
 /// The cached state of one kind of items, and its change notification.
@@ -52,7 +54,7 @@
     /// When the store last answered; `None` before the first list.
     answered_at: Option<Instant>,
     /// When the call for that answer was sent.
-    proved_at: Option<Moment>,
+    proved_at: Option<BootInstant>,
     /// Whether the whole state has to be read again.
     must_list: bool,
     /// When an entry last sent a read; the store is read only while entries read.
@@ -81,21 +83,21 @@
 impl StateCache {
     /// Creates the state of an agent that no entry has read from.
     pub fn new(
-        directory: Arc<dyn Directory>,
+        directory: Arc<dyn StateStore>,
         stats: Arc<Stats>,
         cfg: &ProcessCfg,
     ) -> Arc<Self> {
         let pace = |kind| {
-            let changes = ProcessCfg::changes(kind);
-            let pace = StorePace::of_agent(cfg.bound(kind), changes);
-            let keys = cfg.routing_wait().filter(|_| kind == Kind::Routing);
-            let wait = keys.map_or(pace.wait, |wait| wait.min(pace.wait));
-            StorePace { wait, ..pace }
+            let changes = ProcessCfg::change_frequency(kind);
+            let pace = StoreReadTiming::for_agent(cfg.max_staleness(kind), changes);
+            let keys = cfg.routing_wait().filter(|_| kind == StateKind::Routing);
+            let wait = keys.map_or(pace.long_poll, |wait| wait.min(pace.long_poll));
+            StoreReadTiming { long_poll: wait, ..pace }
         };
         Arc::new(Self {
             store: StoreReader::new(directory, stats.clone()),
             stats,
-            paces: Kind::ALL.map(pace),
+            paces: StateKind::ALL.map(pace),
             feeds: Default::default(),
         })
     }
@@ -120,7 +122,7 @@
         };
         if is_current || !is_known {
             let min_wait = if is_known { Duration::ZERO } else { MIN_FIRST_LIST_WAIT };
-            within(Duration::from_millis(req.wait_ms).max(min_wait), changed).await;
+            with_timeout(Duration::from_millis(req.wait_ms).max(min_wait), changed).await;
         }
         let now = Instant::now();
         let reply = feed.cached.lock().reply(req, now);
@@ -130,20 +132,20 @@
 
     /// Writes the age of each kind's state to the metrics.
     pub fn write_metrics(&self) {
-        for kind in Kind::ALL {
+        for kind in StateKind::ALL {
             let proved_at = self.feed(kind).cached.lock().proved_at;
-            self.stats.proof_age(kind.name(), proved_at.map(|at| at.elapsed()));
+            self.stats.set_proof_age(kind.name(), proved_at.map(|at| at.elapsed()));
             let at = self.feed(kind).cached.lock().at;
-            self.stats.store_point(kind.name(), at);
+            self.stats.set_store_point(kind.name(), at);
         }
     }
 
-    fn feed(&self, kind: Kind) -> &Feed {
+    fn feed(&self, kind: StateKind) -> &Feed {
         &self.feeds[kind as usize]
     }
 
     /// Reads the store as long as entries read from this agent.
-    async fn follow(self: Arc<Self>, kind: Kind) {
+    async fn follow(self: Arc<Self>, kind: StateKind) {
         let feed = self.feed(kind);
         loop {
             let after = {
@@ -155,24 +157,34 @@
                 let at = cached.at;
                 let is_full = cached.changes.len() >= MAX_KEPT_CHANGES;
                 let lists = cached.answered_at.is_none() || cached.must_list || is_full;
-                (!lists).then_some(After { at, wait: self.pace(kind).wait })
+                (!lists).then_some(ChangeQuery {
+                    known: at,
+                    max_wait: self.pace(kind).long_poll,
+                })
             };
-            let read = self.store.read(Ask { kind, after }, self.pace(kind)).await;
-            self.stats.store_call(kind.name(), read.is_ok());
+            let read = self
+                .store
+                .read(StateQuery { kind, changes: after }, self.pace(kind))
+                .await;
+            self.stats.count_store_call(kind.name(), read.is_ok());
             let pause = self.apply_read(kind, read);
             Timer::after(pause).await;
         }
     }
 
     /// Keeps the result of a read; returns the pause before the next read.
-    fn apply_read(&self, kind: Kind, read: Result<Read, PlatformError>) -> Duration {
+    fn apply_read(
+        &self,
+        kind: StateKind,
+        read: Result<ReadOutcome, PlatformError>,
+    ) -> Duration {
         let feed = self.feed(kind);
         let state = match read {
-            Ok(Read::State(state)) => state,
-            Ok(Read::HistoryGone) => {
+            Ok(ReadOutcome::State(state)) => state,
+            Ok(ReadOutcome::HistoryCompacted) => {
                 let mut cached = feed.cached.lock();
                 cached.must_list = true;
-                if logs::allows(logs::Line::Belief) {
+                if logs::is_allowed(logs::LineKind::StateChange) {
                     let (epoch, revision) = (cached.at.epoch(), cached.at.revision());
                     let kind = kind.name();
                     tracing::info!(event = "history gone", kind, epoch, revision);
@@ -180,7 +192,7 @@
                 return Duration::ZERO;
             }
             Err(e) => {
-                if logs::allows(logs::Line::Belief) {
+                if logs::is_allowed(logs::LineKind::StateChange) {
                     let proved_at = feed.cached.lock().proved_at;
                     let age = proved_at.map(|at| at.elapsed().as_millis() as u64);
                     let kind = kind.name();
@@ -197,23 +209,23 @@
         self.pace(kind).pause
     }
 
-    fn pace(&self, kind: Kind) -> &StorePace {
+    fn pace(&self, kind: StateKind) -> &StoreReadTiming {
         &self.paces[kind as usize]
     }
 }
 
 impl CachedState {
     /// Applies an answer of the store; returns whether anything changed.
-    fn apply(&mut self, state: State, now: Instant) -> bool {
+    fn apply(&mut self, state: EncodedState, now: Instant) -> bool {
         self.answered_at = Some(now);
-        self.proved_at = state.proved;
-        if state.whole {
+        self.proved_at = state.proved_at;
+        if state.is_complete {
             self.must_list = false;
             self.pages = state.pages;
             self.listed_at = state.at;
             self.changes.clear();
         }
-        let changed = state.whole || !state.changes.is_empty();
+        let changed = state.is_complete || !state.changes.is_empty();
         let to = state.at;
         self.changes.extend(state.changes.into_iter().map(|body| Change { to, body }));
         self.at = state.at;
@@ -252,10 +264,10 @@
     }
 }
 
-fn kind_of(kind: wire::Kind) -> Kind {
+fn kind_of(kind: wire::Kind) -> StateKind {
     match kind {
-        wire::Kind::Routing => Kind::Routing,
-        wire::Kind::Endpoints => Kind::Endpoints,
-        wire::Kind::Versions => Kind::Versions,
+        wire::Kind::Routing => StateKind::Routing,
+        wire::Kind::Endpoints => StateKind::Endpoints,
+        wire::Kind::Versions => StateKind::Versions,
     }
 }
--- a/crates/larkspring/src/direct/beliefs.rs
+++ b/crates/larkspring/src/direct/beliefs.rs
@@ -6,24 +6,24 @@
 
 use arc_swap::{ArcSwap, ArcSwapOption};
 use event_listener::{Event, EventListener};
-use larkspring_core::fleet::members::{Endpoint, Members, LAPSE_GRACE};
+use larkspring_core::fleet::members::{Endpoint, EndpointList, EXPIRED_LEASE_GRACE};
 use larkspring_core::fleet::routes::Routing;
-use larkspring_core::fleet::versions::Versions;
+use larkspring_core::fleet::versions::AdapterVersions;
 use larkspring_core::ids::{StorePoint, Target};
 use parking_lot::Mutex;
 use smol::Timer;
 
-use super::edge::{Item, Kind, Listed};
-use super::logs::{self, Line};
-use crate::clock::Moment;
+use super::edge::{DecodedState, Item, StateKind};
+use super::logs::{self, LineKind};
+use crate::clock::BootInstant;
 
 /// The replicated state, with its age.
 #[derive(Debug)]
-pub struct Beliefs {
+pub struct ReplicatedState {
     routing: ArcSwapOption<Routing>,
-    proofs: [Mutex<Proof>; Kind::ALL.len()],
-    versions: ArcSwap<Versions>,
-    members: Mutex<Members>,
+    proofs: [Mutex<Proof>; StateKind::ALL.len()],
+    versions: ArcSwap<AdapterVersions>,
+    members: Mutex<EndpointList>,
     store: Mutex<StoreHealth>,
     changed: Event,
     store_recovered: Event,
@@ -34,7 +34,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct Proof {
     /// A moment at which the store held nothing newer.
-    at: Option<Moment>,
+    at: Option<BootInstant>,
     /// Whether a newer state was read that is invalid, so that nothing is proved.
     newest_is_invalid: bool,
     /// Whether the store was restored from a backup that lacks the routing in force.
@@ -52,7 +52,7 @@
     answered_at: Option<Instant>,
 }
 
-impl Default for Beliefs {
+impl Default for ReplicatedState {
     fn default() -> Self {
         Self {
             routing: ArcSwapOption::empty(),
@@ -67,7 +67,7 @@
     }
 }
 
-impl Beliefs {
+impl ReplicatedState {
     /// Returns the routing in force, once known.
     pub fn routing(&self) -> Option<Arc<Routing>> {
         self.routing.load_full()
@@ -75,13 +75,13 @@
 
     /// Returns the time since the store is proved to have held nothing newer of a kind;
     /// `None` without a proof.
-    pub fn proof_age(&self, kind: Kind) -> Option<Duration> {
+    pub fn proof_age(&self, kind: StateKind) -> Option<Duration> {
         self.proof(kind).lock().at.map(|at| at.elapsed())
     }
 
     /// Records that at a moment the store held nothing newer of a kind than the applied
     /// state.
-    pub fn proved(&self, kind: Kind, at: Moment) {
+    pub fn record_proof(&self, kind: StateKind, at: BootInstant) {
         let mut proof = self.proof(kind).lock();
         if !proof.newest_is_invalid && !proof.is_behind {
             proof.at = proof.at.max(Some(at));
@@ -89,24 +89,24 @@
     }
 
     /// Records whether the newest routing that was read is invalid.
-    pub fn routing_in_doubt(&self, is_invalid: bool) {
-        self.proof(Kind::Routing).lock().newest_is_invalid = is_invalid;
+    pub fn set_routing_invalid(&self, is_invalid: bool) {
+        self.proof(StateKind::Routing).lock().newest_is_invalid = is_invalid;
     }
 
-    fn proof(&self, kind: Kind) -> &Mutex<Proof> {
+    fn proof(&self, kind: StateKind) -> &Mutex<Proof> {
         &self.proofs[kind as usize]
     }
 
     /// Returns the newest versions of adapters.
-    pub fn versions(&self) -> Arc<Versions> {
+    pub fn versions(&self) -> Arc<AdapterVersions> {
         self.versions.load_full()
     }
 
     /// Returns once no request may start on this version of an adapter any more.
-    pub async fn outdated(&self, target: &Target) {
+    pub async fn wait_until_outdated(&self, target: &Target) {
         loop {
             let changed = self.changed();
-            let begin_by = self.versions().begin_by(&target.adapter, &target.version);
+            let begin_by = self.versions().latest_start(&target.adapter, &target.version);
             if let Some(at) = begin_by {
                 Timer::at(at).await;
                 return;
@@ -126,20 +126,20 @@
     }
 
     /// Returns since when the store has been unavailable, if it is.
-    pub fn store_away_since(&self) -> Option<Instant> {
+    pub fn store_unavailable_since(&self) -> Option<Instant> {
         self.store.lock().unavailable_since
     }
 
     /// Notifies when the store is available again.
-    pub fn store_back(&self) -> EventListener {
+    pub fn store_recovered(&self) -> EventListener {
         self.store_recovered.listen()
     }
 
     /// Returns once the store is unavailable.
-    pub async fn store_lost(&self) {
+    pub async fn wait_store_unavailable(&self) {
         loop {
             let lost = self.store_unavailable.listen();
-            if self.store_away_since().is_some() {
+            if self.store_unavailable_since().is_some() {
                 return;
             }
             lost.await;
@@ -147,9 +147,9 @@
     }
 
     /// Replaces all items of a kind.
-    pub fn replace(&self, now: Instant, kind: Kind, listed: Listed) {
-        if kind != Kind::Endpoints {
-            return self.update(now, listed);
+    pub fn replace_all(&self, now: Instant, kind: StateKind, listed: DecodedState) {
+        if kind != StateKind::Endpoints {
+            return self.apply_changes(now, listed);
         }
         if self.members.lock().begin_epoch(listed.at) {
             // Endpoints that joined after the backup are listed again soon, as after an
@@ -166,12 +166,12 @@
         }
         let count = endpoints.len();
         self.members.lock().replace(endpoints, keep_until);
-        logs::belief("endpoints listed", listed.at, count);
+        logs::log_state_change("endpoints listed", listed.at, count);
         self.changed.notify(usize::MAX);
     }
 
     /// Applies changed items.
-    pub fn update(&self, now: Instant, changes: Listed) {
+    pub fn apply_changes(&self, now: Instant, changes: DecodedState) {
         if changes.items.is_empty() {
             return;
         }
@@ -192,11 +192,11 @@
     }
 
     /// Records that a call to the store failed.
-    pub fn store_failed(&self, now: Instant, cause: &str) {
+    pub fn record_store_failure(&self, now: Instant, cause: &str) {
         let mut store = self.store.lock();
         if store.unavailable_since.is_none() {
             store.unavailable_since = Some(now);
-            logs::dependency("store", false, cause);
+            logs::log_dependency("store", false, cause);
             self.store_unavailable.notify(usize::MAX);
         }
     }
@@ -207,12 +207,12 @@
     }
 
     /// Records that the store answered.
-    pub fn store_answered(&self, now: Instant) {
+    pub fn record_store_answer(&self, now: Instant) {
         let mut store = self.store.lock();
         store.answered_at = Some(now);
         if store.unavailable_since.take().is_some() {
             store.recovered_at = Some(now);
-            logs::dependency("store", true, "");
+            logs::log_dependency("store", true, "");
             self.store_recovered.notify(usize::MAX);
         }
     }
@@ -222,9 +222,9 @@
     fn keep_until(&self, now: Instant) -> Option<Instant> {
         let store = *self.store.lock();
         if store.unavailable_since.is_some() {
-            return Some(now + LAPSE_GRACE);
+            return Some(now + EXPIRED_LEASE_GRACE);
         }
-        store.recovered_at.map(|at| at + LAPSE_GRACE).filter(|until| *until > now)
+        store.recovered_at.map(|at| at + EXPIRED_LEASE_GRACE).filter(|until| *until > now)
     }
 
     fn apply_item(&self, now: Instant, at: StorePoint, item: Item) {
@@ -233,15 +233,15 @@
             Item::Routing(routing) => self.apply_routing(*routing),
             Item::Endpoint(endpoint, written) => {
                 let (id, leaving) = (endpoint.id.clone(), endpoint.leaving);
-                let changed = self.members.lock().put(endpoint, written);
-                if changed && leaving && logs::allows(Line::Belief) {
+                let changed = self.members.lock().upsert(endpoint, written);
+                if changed && leaving && logs::is_allowed(LineKind::StateChange) {
                     tracing::info!(event = "endpoint leaving", endpoint = %id, epoch, revision);
                 }
             }
-            Item::EndpointGone(id) => {
+            Item::EndpointRemoved(id) => {
                 let keep_until = self.keep_until(now);
                 self.members.lock().remove(&id, keep_until);
-                if logs::allows(Line::Belief) {
+                if logs::is_allowed(LineKind::StateChange) {
                     let kept = keep_until.is_some();
                     tracing::info!(
                         event = "endpoint gone",
@@ -253,12 +253,12 @@
                 }
             }
             Item::Version(adapter, number) => {
-                let mut versions = Versions::clone(&self.versions.load());
+                let mut versions = AdapterVersions::clone(&self.versions.load());
                 // The version was named after the last proof that the store held nothing
                 // newer.
-                let age = self.proof_age(Kind::Versions).unwrap_or_default();
+                let age = self.proof_age(StateKind::Versions).unwrap_or_default();
                 let since = now.checked_sub(age).unwrap_or(now);
-                if versions.name(now, since, &adapter, number) {
+                if versions.announce(now, since, &adapter, number) {
                     self.versions.store(Arc::new(versions));
                     tracing::info!(
                         event = "version named",
@@ -269,12 +269,12 @@
                     );
                 }
             }
-            Item::Unreadable { kind, name, cause } => {
-                if kind == Kind::Endpoints {
+            Item::Invalid { kind, name, cause } => {
+                if kind == StateKind::Endpoints {
                     // The endpoint's object was overwritten, so its address is unknown.
                     self.members.lock().remove(&name.as_str().into(), None);
                 }
-                if logs::allows(Line::Belief) {
+                if logs::is_allowed(LineKind::StateChange) {
                     let kind = kind.name();
                     tracing::warn!(
                         event = "item left out",
@@ -291,7 +291,7 @@
 
     fn apply_routing(&self, routing: Routing) {
         let known = self.routing.load().as_ref().map(|r| r.version);
-        self.proof(Kind::Routing).lock().is_behind = known > Some(routing.version);
+        self.proof(StateKind::Routing).lock().is_behind = known > Some(routing.version);
         if known.is_some_and(|version| version >= routing.version) {
             return;
         }
--- a/crates/larkspring/src/direct/cfg.rs
+++ b/crates/larkspring/src/direct/cfg.rs
@@ -5,14 +5,14 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
-use larkspring_core::fleet::choose::Placement;
-use larkspring_core::fleet::mechanisms::Without;
-use larkspring_core::fleet::reads::Changes;
+use larkspring_core::fleet::choose::PlacementPolicy;
+use larkspring_core::fleet::mechanisms::DisabledMechanisms;
+use larkspring_core::fleet::reads::ChangeFrequency;
 use larkspring_core::ids::{HallId, VmId};
-use larkspring_core::limits::LimitTerms;
-use larkspring_core::retry::RepeatTerms;
+use larkspring_core::limits::LimitTolerance;
+use larkspring_core::retry::RetryTerms;
 
-use super::edge::Kind;
+use super::edge::StateKind;
 
 /// Settings that every process has.
 #[derive(Debug, Clone)]
@@ -30,16 +30,16 @@
     /// Time from the signal to stop until the process is killed.
     pub stop_grace: Duration,
     /// Time within which a draining endpoint has to get no more requests.
-    pub drain: Duration,
+    pub drain_bound: Duration,
     /// Time within which a declared routing has to be in force.
-    pub in_force: Duration,
+    pub routing_bound: Duration,
     /// Time within which requests have to start on a newly named version of an adapter.
-    pub replaced: Duration,
+    pub version_bound: Duration,
     /// Time within which a revoked key is refused, whether the store is available or not;
     /// `None` for no such bound.
-    pub revocation: Option<Duration>,
+    pub revocation_bound: Option<Duration>,
     /// Window of the workspaces' limits, and the excess that is allowed.
-    pub limits: LimitTerms,
+    pub limits: LimitTolerance,
 }
 
 /// Fraction of the revocation time for which a copy of the keys is trusted. The rest
@@ -48,7 +48,7 @@
 /// Fraction of the trusted time for which a read of the routing waits for a change: two
 /// consecutive reads and an entry's own pause have to fit into half of the trusted time.
 const ROUTING_WAIT_FRACTION: f64 = 0.2;
-/// Fraction of [`ProcessCfg::replaced`] within which a new version becomes known. The
+/// Fraction of [`ProcessCfg::version_bound`] within which a new version becomes known. The
 /// rest is left for loading it and for requests that still wait to start on the previous
 /// version.
 const VERSION_KNOWN_FRACTION: f64 = 0.8;
@@ -56,32 +56,32 @@
 impl ProcessCfg {
     /// Returns the time within which entries have to know a change of a kind of declared
     /// state.
-    pub fn bound(&self, kind: Kind) -> Duration {
+    pub fn max_staleness(&self, kind: StateKind) -> Duration {
         match kind {
-            Kind::Routing => self.in_force,
-            Kind::Endpoints => self.drain,
-            Kind::Versions => self.replaced.mul_f64(VERSION_KNOWN_FRACTION),
+            StateKind::Routing => self.routing_bound,
+            StateKind::Endpoints => self.drain_bound,
+            StateKind::Versions => self.version_bound.mul_f64(VERSION_KNOWN_FRACTION),
         }
     }
 
     /// Returns whether reads of a kind wait for a change, or find a change each time.
-    pub fn changes(kind: Kind) -> Changes {
+    pub fn change_frequency(kind: StateKind) -> ChangeFrequency {
         match kind {
-            Kind::Routing | Kind::Versions => Changes::Seldom,
-            Kind::Endpoints => Changes::Often,
+            StateKind::Routing | StateKind::Versions => ChangeFrequency::Rare,
+            StateKind::Endpoints => ChangeFrequency::Continuous,
         }
     }
 
     /// Returns the greatest age of the keys at which requests are served; `None` for any
     /// age.
-    pub fn trusted(&self) -> Option<Duration> {
-        self.revocation.map(|bound| bound.mul_f64(KEY_TRUST_FRACTION))
+    pub fn max_key_age(&self) -> Option<Duration> {
+        self.revocation_bound.map(|bound| bound.mul_f64(KEY_TRUST_FRACTION))
     }
 
     /// Returns the longest time for which a read of the routing waits for a change;
     /// `None` if only other needs limit it.
     pub fn routing_wait(&self) -> Option<Duration> {
-        self.trusted().map(|trusted| trusted.mul_f64(ROUTING_WAIT_FRACTION))
+        self.max_key_age().map(|trusted| trusted.mul_f64(ROUTING_WAIT_FRACTION))
     }
 }
 
@@ -97,13 +97,13 @@
     /// Limits the simultaneous connections of callers.
     pub max_connections: usize,
     /// Limits the bytes of all request bodies that are kept for another attempt.
-    pub max_kept_bytes: usize,
+    pub max_buffered_bytes: usize,
     /// Terms of the shared retry budget.
-    pub repeats: RepeatTerms,
+    pub retries: RetryTerms,
     /// How endpoints are selected for requests.
-    pub placement: Placement,
+    pub placement: PlacementPolicy,
     /// Mechanisms that are switched off, for a measurement.
-    pub without: Without,
+    pub disabled_mechanisms: DisabledMechanisms,
 }
 
 /// Settings of an agent.
@@ -116,7 +116,7 @@
     /// Address of the engine.
     pub engine: SocketAddr,
     /// Mechanisms that are switched off, for a measurement.
-    pub without: Without,
+    pub disabled_mechanisms: DisabledMechanisms,
 }
 
 /// Port at which metrics are served.
--- a/crates/larkspring/src/direct/conn.rs
+++ b/crates/larkspring/src/direct/conn.rs
@@ -23,16 +23,16 @@
 use crate::http::client::connect;
 
 /// A connection that carries one request at a time.
-pub(crate) struct Conn {
+pub(crate) struct EndpointConn {
     tx: SendRequest<SendBody>,
     /// The connection's I/O future; `None` once the connection has ended.
     io: Option<ConnFuture>,
     /// When the connection became idle.
-    pub rested_since: Instant,
+    pub idle_since: Instant,
     /// How long the endpoint keeps an idle connection open, if stated.
     pub keep_alive: Option<Duration>,
     /// Whether the connection has carried a request before.
-    pub used: bool,
+    pub is_reused: bool,
 }
 
 type ConnFuture = Pin<Box<Connection<FuturesIo<TcpStream>, SendBody>>>;
@@ -52,26 +52,29 @@
     }
 }
 
-impl Conn {
+impl EndpointConn {
     /// Opens a connection within `limit`.
     pub async fn open(addr: SocketAddr, limit: Duration) -> Result<Self, SendError> {
         let unsent = |cause: String| SendError::Unsent(addr.to_string(), cause);
         let sock = connect(&addr.to_string(), limit).await;
         let sock = sock.map_err(|e| unsent(e.to_string()))?;
-        Self::over(addr, sock).await
+        Self::from_socket(addr, sock).await
     }
 
     /// Creates a connection on an open socket.
-    pub async fn over(addr: SocketAddr, sock: TcpStream) -> Result<Self, SendError> {
+    pub async fn from_socket(
+        addr: SocketAddr,
+        sock: TcpStream,
+    ) -> Result<Self, SendError> {
         let unsent = |cause: String| SendError::Unsent(addr.to_string(), cause);
         let result = handshake(FuturesIo::new(sock)).await;
         let (tx, io) = result.map_err(|e| unsent(e.to_string()))?;
         Ok(Self {
             tx,
             io: Some(Box::pin(io)),
-            rested_since: Instant::now(),
+            idle_since: Instant::now(),
             keep_alive: None,
-            used: false,
+            is_reused: false,
         })
     }
 
@@ -81,7 +84,7 @@
         peer: SocketAddr,
         req: Request<SendBody>,
     ) -> Result<Response<Incoming>, SendError> {
-        self.used = true;
+        self.is_reused = true;
         let answer = self.tx.try_send_request(req);
         let mut answer = std::pin::pin!(answer);
         let got = poll_fn(|cx| {
@@ -90,7 +93,7 @@
         });
         got.await.map_err(|mut e| {
             let unsent = e.take_message().is_some();
-            let cause = cause_of(&e.into_error());
+            let cause = error_with_source(&e.into_error());
             match unsent {
                 true => SendError::Unsent(peer.to_string(), cause),
                 false => SendError::Broken(peer.to_string(), cause),
@@ -113,7 +116,7 @@
                 Pin::new(&mut body).poll_frame(cx)
             });
             let Some(frame) = frame.await else { break };
-            let frame = frame.map_err(|e| fail(cause_of(&e)))?;
+            let frame = frame.map_err(|e| fail(error_with_source(&e)))?;
             let Ok(data) = frame.into_data() else { continue };
             if whole.len() + data.len() > max {
                 return Err(fail(format!("its body is over {max} bytes")));
@@ -130,10 +133,10 @@
         req: Request<Bytes>,
         max: usize,
     ) -> Result<Response<Bytes>, SendError> {
-        let res = self.send(peer, req.map(SendBody::kept)).await?;
+        let res = self.send(peer, req.map(SendBody::buffered)).await?;
         let (head, body) = res.into_parts();
         let body = self.read(peer, body, max).await?;
-        self.learn(&head.headers);
+        self.record_answer(&head.headers);
         Ok(Response::from_parts(head, body))
     }
 
@@ -155,8 +158,8 @@
     }
 
     /// Records the end of an answer, and the keep-alive time from its headers.
-    pub fn learn(&mut self, headers: &HeaderMap) {
-        self.rested_since = Instant::now();
+    pub fn record_answer(&mut self, headers: &HeaderMap) {
+        self.idle_since = Instant::now();
         let value = headers.get("keep-alive").and_then(|v| v.to_str().ok());
         let secs = value.and_then(|v| {
             let mut parts = v.split(',').map(str::trim);
@@ -169,7 +172,7 @@
 }
 
 /// Returns an error's text with its source.
-pub(crate) fn cause_of(e: &dyn std::error::Error) -> String {
+pub(crate) fn error_with_source(e: &dyn std::error::Error) -> String {
     match e.source() {
         Some(source) => format!("{e}: {source}"),
         None => e.to_string(),
@@ -179,13 +182,13 @@
 /// Body of a request to an endpoint.
 pub(crate) enum SendBody {
     /// A body kept in memory, so that it can be sent again.
-    Kept(Option<Bytes>),
+    Buffered(Option<Bytes>),
     /// A body that is streamed as it arrives.
-    Flow(Flow),
+    Streamed(StreamedBody),
 }
 
 /// A body that is too large to be kept: its first bytes and the rest.
-pub(crate) struct Flow {
+pub(crate) struct StreamedBody {
     first: Option<Bytes>,
     rest: Option<Incoming>,
     /// Limit of the bytes still to come.
@@ -194,14 +197,14 @@
 
 impl SendBody {
     /// Creates a body that is kept in memory.
-    pub fn kept(bytes: Bytes) -> Self {
-        Self::Kept((!bytes.is_empty()).then_some(bytes))
+    pub fn buffered(bytes: Bytes) -> Self {
+        Self::Buffered((!bytes.is_empty()).then_some(bytes))
     }
 
     /// Creates a body that is streamed, of at most `max` bytes in all.
-    pub fn flow(first: Bytes, rest: Incoming, max: usize) -> Self {
+    pub fn streamed(first: Bytes, rest: Incoming, max: usize) -> Self {
         let left = max.saturating_sub(first.len());
-        Self::Flow(Flow { first: Some(first), rest: Some(rest), left })
+        Self::Streamed(StreamedBody { first: Some(first), rest: Some(rest), left })
     }
 }
 
@@ -214,26 +217,28 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         match self.get_mut() {
-            Self::Kept(bytes) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
-            Self::Flow(flow) => flow.poll(cx),
+            Self::Buffered(bytes) => {
+                Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b))))
+            }
+            Self::Streamed(flow) => flow.poll(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Self::Kept(None))
+        matches!(self, Self::Buffered(None))
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Kept(bytes) => {
+            Self::Buffered(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |b| b.len() as u64))
             }
-            Self::Flow(flow) => flow.size_hint(),
+            Self::Streamed(flow) => flow.size_hint(),
         }
     }
 }
 
-impl Flow {
+impl StreamedBody {
     fn poll(
         &mut self,
         cx: &mut Context<'_>,
@@ -266,7 +271,7 @@
     }
 }
 
-impl Drop for Flow {
+impl Drop for StreamedBody {
     /// Reads the rest of the caller's body: closing with unread bytes would reset the
     /// caller's connection, and lose an answer that may be on its way.
     fn drop(&mut self) {
--- a/crates/larkspring/src/direct/edge.rs
+++ b/crates/larkspring/src/direct/edge.rs
@@ -15,19 +15,23 @@
 use larkspring_core::workspaces::Credential;
 use quick_error::quick_error;
 
-use crate::clock::Moment;
-use crate::platform::{Answer, PlatformError};
+use crate::clock::BootInstant;
+use crate::platform::{PlatformError, PlatformFuture};
 
 /// Identifier that a caller gives to one attempt at a request.
 pub type RequestId = String;
 
 /// The declared state of a platform.
-pub trait Directory: Send + Sync {
+pub trait StateStore: Send + Sync {
     /// Reads items of a kind, without decoding them.
-    fn read(&self, ask: Ask) -> Answer<'_, Read>;
+    fn fetch(&self, ask: StateQuery) -> PlatformFuture<'_, ReadOutcome>;
 
     /// Decodes items that were read.
-    fn decode(&self, kind: Kind, state: &State) -> Result<Listed, PlatformError>;
+    fn decode(
+        &self,
+        kind: StateKind,
+        state: &EncodedState,
+    ) -> Result<DecodedState, PlatformError>;
 }
 
 /// Stores the fingerprints of quarantined requests, so that they survive a restart of all
@@ -38,60 +42,60 @@
     fn epoch(&self) -> StoreEpoch;
 
     /// Reads all fingerprints.
-    fn list(&self) -> Answer<'_, Vec<ContentHash>>;
+    fn list(&self) -> PlatformFuture<'_, Vec<ContentHash>>;
 
     /// Adds a fingerprint, unless it is stored already.
-    fn add(&self, content: ContentHash) -> Answer<'_, ()>;
+    fn add(&self, content: ContentHash) -> PlatformFuture<'_, ()>;
 
     /// Removes a fingerprint, if it is stored.
-    fn remove(&self, content: ContentHash) -> Answer<'_, ()>;
+    fn remove(&self, content: ContentHash) -> PlatformFuture<'_, ()>;
 
     /// Removes a fingerprint for an operator and records the lift, so that no process
     /// adds the fingerprint again for crashes that were counted before.
-    fn lift(&self, content: ContentHash) -> Answer<'_, ()>;
+    fn remove_and_record_lift(&self, content: ContentHash) -> PlatformFuture<'_, ()>;
 
     /// Reads the fingerprints that operators lifted.
-    fn lifted(&self) -> Answer<'_, Vec<ContentHash>>;
+    fn lifted(&self) -> PlatformFuture<'_, Vec<ContentHash>>;
 
     /// Deletes the record of a lift.
-    fn forget_lift(&self, content: ContentHash) -> Answer<'_, ()>;
+    fn delete_lift(&self, content: ContentHash) -> PlatformFuture<'_, ()>;
 }
 
 /// A read of the declared state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Ask {
+pub struct StateQuery {
     /// The kind of items.
-    pub kind: Kind,
+    pub kind: StateKind,
     /// Reads the changes after this point; `None` reads the whole state.
-    pub after: Option<After>,
+    pub changes: Option<ChangeQuery>,
 }
 
 /// The changes to read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct After {
+pub struct ChangeQuery {
     /// The point up to which the state is known.
-    pub at: StorePoint,
+    pub known: StorePoint,
     /// Longest time to wait for a change.
-    pub wait: Duration,
+    pub max_wait: Duration,
 }
 
 /// The result of a read.
 #[derive(Debug, Clone)]
-pub enum Read {
+pub enum ReadOutcome {
     /// Items.
-    State(State),
+    State(EncodedState),
     /// The history since the point was compacted, or the store was restored from a
     /// backup: the whole state has to be read again.
-    HistoryGone,
+    HistoryCompacted,
 }
 
 /// Items of a kind at a point of the store's history, not decoded.
 #[derive(Debug, Clone, Default)]
-pub struct State {
+pub struct EncodedState {
     /// The point of the store's history that was read.
     pub at: StorePoint,
     /// Whether this is the whole state, and not only changes.
-    pub whole: bool,
+    pub is_complete: bool,
     /// Pages of a list.
     pub pages: Vec<Bytes>,
     /// Changes after the list, in their order.
@@ -100,14 +104,14 @@
     pub age: Duration,
     /// When the call to the store that returned this state was sent: the store held
     /// nothing newer of this kind at that time. `None` if the time is unknown.
-    pub proved: Option<Moment>,
+    pub proved_at: Option<BootInstant>,
     /// Who answered the read.
-    pub via: Via,
+    pub source: ReadSource,
 }
 
 /// Who answers a read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Via {
+pub enum ReadSource {
     /// The platform's store.
     #[default]
     Store,
@@ -117,7 +121,7 @@
 
 /// Kinds of declared state; each kind is followed separately.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Kind {
+pub enum StateKind {
     /// Routes, services and limits of callers.
     Routing,
     /// Endpoints.
@@ -126,7 +130,7 @@
     Versions,
 }
 
-impl Kind {
+impl StateKind {
     /// All kinds, in the order of their discriminants.
     pub const ALL: [Self; 3] = [Self::Routing, Self::Endpoints, Self::Versions];
 
@@ -142,13 +146,13 @@
 
 /// Decoded items of a kind at a point of the store's history.
 #[derive(Debug)]
-pub struct Listed {
+pub struct DecodedState {
     /// The point of the store's history that was read.
     pub at: StorePoint,
     /// The items.
     pub items: Vec<Item>,
     /// Names of unrecognised fields.
-    pub unknown: BTreeSet<String>,
+    pub unknown_names: BTreeSet<String>,
 }
 
 /// One item of declared state.
@@ -159,13 +163,13 @@
     /// A listed endpoint, and the point at which its object was last written.
     Endpoint(Endpoint, StorePoint),
     /// An endpoint that is no longer listed.
-    EndpointGone(Incarnation),
+    EndpointRemoved(Incarnation),
     /// The newest version of an adapter.
     Version(AdapterId, u64),
     /// An invalid item; it is logged and left out.
-    Unreadable {
+    Invalid {
         /// Its kind.
-        kind: Kind,
+        kind: StateKind,
         /// Its name; empty if the name can't be decoded either.
         name: String,
         /// Why it can't be decoded.
@@ -175,48 +179,48 @@
 
 impl Item {
     /// Whether the item is invalid.
-    pub fn is_unreadable(&self) -> bool {
-        matches!(self, Self::Unreadable { .. })
+    pub fn is_invalid(&self) -> bool {
+        matches!(self, Self::Invalid { .. })
     }
 }
 
 /// The platform's encoding of requests, answers, reports and orders.
 pub trait Protocol: Send + Sync {
     /// Decodes a caller's headers.
-    fn caller(&self, headers: &HeaderMap) -> Result<CallerRequest, BadRequest>;
+    fn decode_caller(&self, headers: &HeaderMap) -> Result<CallerRequest, BadRequest>;
 
     /// Rewrites a caller's headers for the endpoint.
-    fn forward(&self, headers: &mut HeaderMap, to: &Forward<'_>);
+    fn rewrite_headers(&self, headers: &mut HeaderMap, to: &ForwardHeaders<'_>);
 
     /// Decodes the headers of an endpoint's answer.
-    fn answer(&self, headers: &HeaderMap, id: &str) -> AnswerHead;
+    fn decode_answer(&self, headers: &HeaderMap, id: &str) -> AnswerHead;
 
     /// Decodes the notice in any answer of an endpoint.
-    fn notice(&self, status: StatusCode, headers: &HeaderMap) -> Notice;
+    fn decode_notice(&self, status: StatusCode, headers: &HeaderMap) -> Notice;
 
     /// Returns the unrecognised names in any answer of an endpoint.
-    fn unknown_words(&self, headers: &HeaderMap) -> Vec<String>;
+    fn unknown_names(&self, headers: &HeaderMap) -> Vec<String>;
 
     /// Adds the headers of an answer that larkspring itself gives.
-    fn own_answer(&self, headers: &mut HeaderMap, id: &str);
+    fn add_answer_headers(&self, headers: &mut HeaderMap, id: &str);
 
     /// Builds a request for the engine's report.
-    fn report(&self) -> Request<Bytes>;
+    fn report_request(&self) -> Request<Bytes>;
 
     /// Decodes the engine's report.
-    fn read_report(&self, res: &Response<Bytes>) -> Result<Report, BadAnswer>;
+    fn decode_report(&self, res: &Response<Bytes>) -> Result<Report, BadAnswer>;
 
     /// Builds a request to the engine's health check, whose answer names the run.
-    fn health(&self, path: &str) -> Option<Request<Bytes>>;
+    fn health_request(&self, path: &str) -> Option<Request<Bytes>>;
 
     /// Decodes the name of the engine's run from the answer.
-    fn read_health(&self, res: &Response<Bytes>) -> Option<Incarnation>;
+    fn decode_health(&self, res: &Response<Bytes>) -> Option<Incarnation>;
 
     /// Builds an order.
-    fn order(&self, order: &Order) -> Request<Bytes>;
+    fn order_request(&self, order: &Order) -> Request<Bytes>;
 
     /// Decodes the answer to an order.
-    fn read_order(&self, res: &Response<Bytes>) -> OrderEnd;
+    fn decode_order(&self, res: &Response<Bytes>) -> OrderOutcome;
 }
 
 quick_error! {
@@ -283,7 +287,7 @@
 
 /// Values for an endpoint beside the caller's own headers.
 #[derive(Debug, Clone)]
-pub struct Forward<'a> {
+pub struct ForwardHeaders<'a> {
     /// Time left for the request.
     pub deadline: Duration,
     /// The only run of the endpoint that may process the request.
@@ -366,7 +370,7 @@
     /// The order is accepted only by this run of the engine, if the run is known.
     pub incarnation: Option<Incarnation>,
     /// Who sends the order.
-    pub holder: String,
+    pub sender: String,
 }
 
 /// The change that an order makes.
@@ -382,7 +386,7 @@
 
 /// An engine's answer to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum OrderEnd {
+pub enum OrderOutcome {
     /// The change is made.
     Done,
     /// The change is in progress.
--- a/crates/larkspring/src/direct/entry/admit.rs
+++ b/crates/larkspring/src/direct/entry/admit.rs
@@ -4,14 +4,14 @@
 use std::time::Duration;
 
 use larkspring_core::fleet::routes::{Route, Routing};
-use larkspring_core::limits::account::Verdict;
+use larkspring_core::limits::account::LimitDecision;
 use larkspring_core::workspaces::{Credential, Workspace};
 
-use super::answer::Reason;
+use super::answer::ErrorReason;
 use super::limits::Limits;
-use super::Inner;
-use crate::direct::edge::{CallerRequest, Kind};
-use crate::direct::logs::{self, Line};
+use super::EntryState;
+use crate::direct::edge::{CallerRequest, StateKind};
+use crate::direct::logs::{self, LineKind};
 
 /// Units that a request took from its workspace's limit. They are returned on drop,
 /// unless the request may have run.
@@ -25,7 +25,7 @@
 /// Fraction of the retry time over which the retries of refused callers are spread.
 const RETRY_SPREAD: f64 = 0.5;
 
-impl Inner {
+impl EntryState {
     /// Returns the workspace of a caller's key; `None` if the route needs no key and the
     /// caller sent no known key.
     ///
@@ -39,7 +39,7 @@
         routing: &Routing,
         route: &Route,
         credential: Credential,
-    ) -> Result<Option<Arc<Workspace>>, Reason> {
+    ) -> Result<Option<Arc<Workspace>>, ErrorReason> {
         let Some(workspaces) = &routing.workspaces else { return Ok(None) };
         let found = match credential {
             Credential::Key(key) => workspaces.find(&key).cloned(),
@@ -49,39 +49,39 @@
             return Ok(found);
         }
         if !self.has_fresh_keys() {
-            return Err(Reason::StaleKeys);
+            return Err(ErrorReason::StaleKeys);
         }
         match (found, credential) {
             (Some(workspace), _) => Ok(Some(workspace)),
             (None, Credential::Key(_)) if !self.is_absence_certain() => {
-                Err(Reason::StaleKeys)
+                Err(ErrorReason::StaleKeys)
             }
-            (None, Credential::Key(_)) => Err(Reason::UnknownKey),
-            (None, _) => Err(Reason::NoKey),
+            (None, Credential::Key(_)) => Err(ErrorReason::UnknownKey),
+            (None, _) => Err(ErrorReason::NoKey),
         }
     }
 
     /// Returns whether the known keys are fresh enough to authenticate with.
     pub(super) fn has_fresh_keys(&self) -> bool {
-        let Some(trusted) = self.cfg().process.trusted() else { return true };
-        self.beliefs.proof_age(Kind::Routing).is_some_and(|age| age <= trusted)
+        let Some(trusted) = self.cfg().process.max_key_age() else { return true };
+        self.beliefs.proof_age(StateKind::Routing).is_some_and(|age| age <= trusted)
     }
 
     /// Returns the reason for refusing a request without a matching route. If the routing
     /// may be outdated, the route may have been declared since, so the request may be
     /// retried.
-    pub(super) fn missing_route_reason(&self) -> Reason {
+    pub(super) fn missing_route_reason(&self) -> ErrorReason {
         match self.is_absence_certain() {
-            true => Reason::NoRoute,
-            false => Reason::StaleRouting,
+            true => ErrorReason::NoRoute,
+            false => ErrorReason::StaleRouting,
         }
     }
 
     /// Returns whether the routing is so fresh that a key or route missing from it is
     /// missing from every routing that may be in force.
     fn is_absence_certain(&self) -> bool {
-        let in_force = self.cfg().process.in_force;
-        self.beliefs.proof_age(Kind::Routing).is_some_and(|age| age <= in_force)
+        let in_force = self.cfg().process.routing_bound;
+        self.beliefs.proof_age(StateKind::Routing).is_some_and(|age| age <= in_force)
     }
 
     /// Charges a request to its workspace's limit; the error is the retry time.
@@ -94,16 +94,16 @@
         let Some(limit) = workspace.limit else { return Ok(None) };
         let cost = limit.cost(caller.tokens);
         match self.limits.admit(workspace, routing.version, cost).await {
-            Verdict::Refused(after) => {
-                self.stats.workspace(&workspace.name, "refused");
+            LimitDecision::Refused(after) => {
+                self.stats.count_workspace(&workspace.name, "refused");
                 let after = after.mul_f64(1.0 + RETRY_SPREAD * fastrand::f64());
-                if logs::allows(Line::Limit) {
+                if logs::is_allowed(LineKind::Limit) {
                     tracing::info!(
                         event = "over limit",
                         request = caller.id,
                         workspace = %workspace.name,
                         cost,
-                        limit_per_sec = limit.per_sec,
+                        limit_per_sec = limit.units_per_sec,
                         limit_burst = limit.burst,
                         routing = routing.version,
                         retry_after_ms = after.as_millis() as u64,
@@ -111,8 +111,8 @@
                 }
                 Err(after)
             }
-            Verdict::Admitted => {
-                self.stats.workspace(&workspace.name, "admitted");
+            LimitDecision::Admitted => {
+                self.stats.count_workspace(&workspace.name, "admitted");
                 Ok(Some(Charge {
                     limits: self.limits.clone(),
                     workspace: workspace.clone(),
--- a/crates/larkspring/src/direct/entry/answer.rs
+++ b/crates/larkspring/src/direct/entry/answer.rs
@@ -13,7 +13,7 @@
 
 use super::relay::Relay;
 use super::serve::ExchangeGuard;
-use super::Inner;
+use super::EntryState;
 
 /// The body of an answer to a caller.
 pub(super) struct AnswerBody {
@@ -42,7 +42,7 @@
 
 /// The reason why larkspring answers a request itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Reason {
+pub(super) enum ErrorReason {
     BadRequest,
     NoKey,
     UnknownKey,
@@ -65,7 +65,7 @@
     TimedOutUnclear,
 }
 
-impl Reason {
+impl ErrorReason {
     /// Returns the name used in logs, metrics and answers.
     pub fn name(self) -> &'static str {
         match self {
@@ -133,7 +133,7 @@
 /// Fraction of the retry time over which the retries of refused callers are spread.
 const RETRY_SPREAD: f64 = 0.3;
 
-impl Reason {
+impl ErrorReason {
     /// Returns whether the answer guarantees that the request has not run.
     pub fn says_not_run(self) -> bool {
         !matches!(self, Self::Unclear | Self::TimedOutUnclear)
@@ -219,8 +219,8 @@
 
 /// Builds larkspring's own answer to a request that has no answer from an endpoint.
 pub(super) fn own_answer(
-    entry: &Inner,
-    reason: Reason,
+    entry: &EntryState,
+    reason: ErrorReason,
     id: &str,
     retry_after: Option<Duration>,
     done: Option<ExchangeGuard>,
@@ -231,7 +231,7 @@
     *res.status_mut() = reason.status();
     let headers = res.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    entry.protocol.own_answer(headers, id);
+    entry.protocol.add_answer_headers(headers, id);
     if let Some(after) = retry_after {
         let secs = format!("{:.3}", after.as_secs_f64());
         if let Ok(value) = HeaderValue::from_str(&secs) {
@@ -239,7 +239,7 @@
         }
     }
     match reason {
-        Reason::StaleKeys | Reason::StaleRouting => close(&mut res),
+        ErrorReason::StaleKeys | ErrorReason::StaleRouting => close(&mut res),
         _ => close_if_draining(entry, &mut res),
     }
     res
@@ -247,7 +247,7 @@
 
 /// Closes the caller's connection if the entry is stopping, so that the caller's next
 /// connection reaches another entry.
-pub(super) fn close_if_draining(entry: &Inner, res: &mut Response<AnswerBody>) {
+pub(super) fn close_if_draining(entry: &EntryState, res: &mut Response<AnswerBody>) {
     if entry.shutdown.is_draining() {
         close(res);
     }
--- a/crates/larkspring/src/direct/entry/attempt.rs
+++ b/crates/larkspring/src/direct/entry/attempt.rs
@@ -10,20 +10,20 @@
 use http::response::Parts;
 use http::{Request, Response, StatusCode};
 use hyper::body::{Body, Incoming};
-use larkspring_core::fleet::attempt::AttemptEnd;
+use larkspring_core::fleet::attempt::AttemptStatus;
 use larkspring_core::fleet::mechanisms::Mechanism;
 use larkspring_core::fleet::routes::RouteClass;
 use larkspring_core::fleet::urgency::{urgency, Urgency};
 use larkspring_core::ids::{Incarnation, Target};
 
-use super::job::Job;
+use super::job::RequestHandler;
 use super::link::Hold;
 use super::peer::{OpenRequest, Peer};
 use super::permits::Permit;
 use super::view::SelectionInputs;
-use crate::direct::conn::{Conn, SendBody, SendError};
-use crate::direct::edge::{Echo, Forward, Identity};
-use crate::direct::logs::{self, Line};
+use crate::direct::conn::{EndpointConn, SendBody, SendError};
+use crate::direct::edge::{Echo, ForwardHeaders, Identity};
+use crate::direct::logs::{self, LineKind};
 
 /// The endpoint selected for a request, with the resources reserved there.
 pub(super) struct Selection {
@@ -48,7 +48,7 @@
     /// The endpoint's own error response, which is delivered if no retry succeeds.
     Failed(EndpointAnswer),
     /// No answer.
-    NoAnswer(AttemptEnd),
+    NoAnswer(AttemptStatus),
 }
 
 /// An endpoint's answer.
@@ -62,7 +62,7 @@
 /// An answer whose body has not been read yet.
 pub(super) struct OpenAnswer {
     pub body: Incoming,
-    pub conn: Conn,
+    pub conn: EndpointConn,
     pub selection: Selection,
 }
 
@@ -92,7 +92,7 @@
     }
 }
 
-impl Job {
+impl RequestHandler {
     /// Sends the request once and records the result.
     pub(super) async fn attempt(&mut self, selection: Selection) -> AttemptOutcome {
         let peer = selection.open_request.peer.clone();
@@ -103,29 +103,30 @@
             AttemptOutcome::Failed(_) => "failed",
             AttemptOutcome::NoAnswer(end) => end_name(*end),
         };
-        self.entry.stats.attempt(end);
+        self.entry.stats.count_attempt(end);
         self.record_quality(&ended, &peer, sent);
         ended
     }
 
     async fn send(&mut self, selection: Selection, peer: &Arc<Peer>) -> AttemptOutcome {
-        let run_once = !self.route.class.may_run_again();
+        let run_once = !self.route.class.is_retryable();
         let take = |cx: &mut Context<'_>| Poll::Ready(peer.take_idle(cx, run_once));
         if let Some(conn) = poll_fn(take).await {
-            self.entry.stats.connection("reused");
+            self.entry.stats.count_connection("reused");
             match self.exchange(conn, &selection, peer).await {
                 // The idle connection was closed; the endpoint itself may be healthy.
                 Err(SendError::Unsent(..)) if peer.is_open() => {}
                 result => return self.classify_result(result, selection, peer).await,
             }
         }
-        let result = match Conn::open(peer.endpoint().addr, CONNECT_TIMEOUT).await {
+        let result = match EndpointConn::open(peer.endpoint().addr, CONNECT_TIMEOUT).await
+        {
             Ok(conn) => {
-                self.entry.stats.connection("new");
+                self.entry.stats.count_connection("new");
                 self.exchange(conn, &selection, peer).await
             }
             Err(e) => {
-                peer.quality(|q| q.no_connection(Instant::now()));
+                peer.quality(|q| q.record_unreachable(Instant::now()));
                 Err(e)
             }
         };
@@ -135,10 +136,10 @@
     /// Sends the request on a connection and returns the head of the answer.
     async fn exchange(
         &mut self,
-        mut conn: Conn,
+        mut conn: EndpointConn,
         selection: &Selection,
         peer: &Arc<Peer>,
-    ) -> Result<(Response<Incoming>, Conn), SendError> {
+    ) -> Result<(Response<Incoming>, EndpointConn), SendError> {
         let endpoint = peer.endpoint();
         // Last check before the first byte: since the selection, another answer may have
         // reported that the endpoint drains, backs off, or has a rate limit.
@@ -151,7 +152,7 @@
                 let cause = "the endpoint is rate-limited and no permit is valid".into();
                 return Err(SendError::Unsent(endpoint.addr.to_string(), cause));
             }
-            self.entry.stats.rated_send(self.send_label());
+            self.entry.stats.count_rated_send(self.send_label());
         }
         selection.open_request.end_prefill();
         selection.open_request.begin_prefill(selection.inputs.unread_tokens);
@@ -163,8 +164,8 @@
         let req = self.request(&endpoint.id, version, body);
         self.in_flight.store(true, Ordering::Release);
         let outdated = async {
-            match selection.target.as_ref().filter(|_| self.route.class.may_run_again()) {
-                Some(target) => self.entry.beliefs.outdated(target).await,
+            match selection.target.as_ref().filter(|_| self.route.class.is_retryable()) {
+                Some(target) => self.entry.beliefs.wait_until_outdated(target).await,
                 // A request that must not run twice can't be withdrawn.
                 None => future::pending().await,
             }
@@ -183,7 +184,7 @@
 
     async fn classify_result(
         &mut self,
-        result: Result<(Response<Incoming>, Conn), SendError>,
+        result: Result<(Response<Incoming>, EndpointConn), SendError>,
         selection: Selection,
         peer: &Arc<Peer>,
     ) -> AttemptOutcome {
@@ -191,8 +192,8 @@
             Ok((res, conn)) => {
                 return self.classify_answer(res, conn, selection, peer).await
             }
-            Err(e @ SendError::Unsent(..)) => (AttemptEnd::Unsent, e),
-            Err(e @ SendError::TakenBack(..)) => (AttemptEnd::Unclear, e),
+            Err(e @ SendError::Unsent(..)) => (AttemptStatus::Unsent, e),
+            Err(e @ SendError::TakenBack(..)) => (AttemptStatus::Unknown, e),
             Err(e) => {
                 self.entry.crashes.connection_broke(
                     peer,
@@ -200,7 +201,7 @@
                     &self.caller.id,
                     selection.selected_at,
                 );
-                (AttemptEnd::Unclear, e)
+                (AttemptStatus::Unknown, e)
             }
         };
         log_attempt(self, peer, end, &e.to_string());
@@ -227,7 +228,7 @@
         *req.method_mut() = self.method.clone();
         *req.uri_mut() = self.uri.clone();
         *req.headers_mut() = self.headers.clone();
-        let forward = Forward {
+        let forward = ForwardHeaders {
             deadline: self.time_left(),
             incarnation,
             version,
@@ -238,7 +239,7 @@
                 None => Identity::Unchecked,
             },
         };
-        self.entry.protocol.forward(req.headers_mut(), &forward);
+        self.entry.protocol.rewrite_headers(req.headers_mut(), &forward);
         req
     }
 
@@ -248,11 +249,13 @@
     fn urgency(&self) -> Urgency {
         let priority = self.priority();
         let begins = self.caller.model.is_some() && self.resume_after.is_none();
-        let uses = self.entry.cfg().without.uses(Mechanism::ReadingOrder);
+        let uses =
+            self.entry.cfg().disabled_mechanisms.is_enabled(Mechanism::PrefillOrder);
         let Some(inputs) = self.inputs.as_ref().filter(|_| begins && uses) else {
             return priority;
         };
-        let left = self.route.objective.saturating_sub(self.received.elapsed());
+        let left =
+            self.route.first_byte_objective.saturating_sub(self.received.elapsed());
         urgency(priority, left, inputs.unread_tokens)
     }
 
@@ -260,32 +263,37 @@
     async fn classify_answer(
         &mut self,
         res: Response<Incoming>,
-        conn: Conn,
+        conn: EndpointConn,
         selection: Selection,
         peer: &Arc<Peer>,
     ) -> AttemptOutcome {
         selection.open_request.end_prefill();
         let (head, body) = res.into_parts();
-        let answer_head = self.entry.protocol.answer(&head.headers, &self.caller.id);
+        let answer_head =
+            self.entry.protocol.decode_answer(&head.headers, &self.caller.id);
         let endpoint = peer.endpoint();
         let status = head.status;
         self.apply_notice(&head, &answer_head, peer, selection.selected_at);
         if answer_head.echo == Echo::Other {
             peer.mark_corrupted();
-            log_attempt(self, peer, AttemptEnd::Unclear, "answer to another request");
-            return AttemptOutcome::NoAnswer(AttemptEnd::Unclear);
+            log_attempt(self, peer, AttemptStatus::Unknown, "answer to another request");
+            return AttemptOutcome::NoAnswer(AttemptStatus::Unknown);
         }
         if status == StatusCode::MISDIRECTED_REQUEST {
             let same = answer_head.incarnation.is_none_or(|id| id == endpoint.id);
-            let end = if same { AttemptEnd::Lacking } else { AttemptEnd::Moved };
-            if end == AttemptEnd::Moved {
+            let end = if same {
+                AttemptStatus::AdapterMissing
+            } else {
+                AttemptStatus::EndpointReplaced
+            };
+            if end == AttemptStatus::EndpointReplaced {
                 self.entry.fleet.mark_gone(peer);
             }
             match (&peer.link, &selection.target) {
                 (Some(link), Some(target)) => link.record_missing(target.hash()),
                 // An engine that lacks its base model can't run any request for a while.
-                _ if end == AttemptEnd::Lacking => {
-                    peer.quality(|q| q.no_connection(Instant::now()));
+                _ if end == AttemptStatus::AdapterMissing => {
+                    peer.quality(|q| q.record_unreachable(Instant::now()));
                 }
                 _ => {}
             }
@@ -294,23 +302,23 @@
             return AttemptOutcome::NoAnswer(end);
         }
         if answer_head.not_run {
-            log_attempt(self, peer, AttemptEnd::Rejected, status.as_str());
+            log_attempt(self, peer, AttemptStatus::Rejected, status.as_str());
             self.drain_refusal(conn, body, peer).await;
-            return AttemptOutcome::NoAnswer(AttemptEnd::Rejected);
+            return AttemptOutcome::NoAnswer(AttemptStatus::Rejected);
         }
         if status.is_success()
             && (!answer_head.signed || answer_head.echo == Echo::Missing)
         {
-            log_attempt(self, peer, AttemptEnd::Unclear, "answer without signature");
-            return AttemptOutcome::NoAnswer(AttemptEnd::Unclear);
+            log_attempt(self, peer, AttemptStatus::Unknown, "answer without signature");
+            return AttemptOutcome::NoAnswer(AttemptStatus::Unknown);
         }
-        let whole = self.route.class == RouteClass::Repeatable
+        let whole = self.route.class == RouteClass::Retryable
             && body.size_hint().upper().is_some_and(|len| len <= MAX_BUFFERED_ANSWER);
         let open = OpenAnswer { body, conn, selection };
         let payload = match whole {
             true => match self.read_whole(open, &head, peer).await {
                 Some(bytes) => Ok(bytes),
-                None => return AttemptOutcome::NoAnswer(AttemptEnd::Unclear),
+                None => return AttemptOutcome::NoAnswer(AttemptStatus::Unknown),
             },
             false => Err(open),
         };
@@ -338,7 +346,7 @@
                 if head.status.is_success() {
                     self.entry.crashes.record_answer(self.fingerprint);
                 }
-                conn.learn(&head.headers);
+                conn.record_answer(&head.headers);
                 recycle(peer, conn).await;
                 Some(bytes)
             }
@@ -349,14 +357,19 @@
                     &self.caller.id,
                     selected_at,
                 );
-                log_attempt(self, peer, AttemptEnd::Unclear, &e.to_string());
+                log_attempt(self, peer, AttemptStatus::Unknown, &e.to_string());
                 None
             }
         }
     }
 
     /// Reads the body of a refusal, so that the connection can be reused.
-    async fn drain_refusal(&self, mut conn: Conn, body: Incoming, peer: &Arc<Peer>) {
+    async fn drain_refusal(
+        &self,
+        mut conn: EndpointConn,
+        body: Incoming,
+        peer: &Arc<Peer>,
+    ) {
         let addr = peer.endpoint().addr;
         if conn.read(addr, body, MAX_BUFFERED_ANSWER as usize).await.is_ok() {
             recycle(peer, conn).await;
@@ -367,10 +380,14 @@
     fn record_quality(&self, ended: &AttemptOutcome, peer: &Arc<Peer>, sent: Instant) {
         let now = Instant::now();
         match ended {
-            AttemptOutcome::Answered(_) => peer.quality(|q| q.good(now, now - sent)),
+            AttemptOutcome::Answered(_) => {
+                peer.quality(|q| q.record_success(now, now - sent))
+            }
             AttemptOutcome::Failed(_)
-            | AttemptOutcome::NoAnswer(AttemptEnd::Unclear | AttemptEnd::Rejected) => {
-                peer.quality(|q| q.bad(now));
+            | AttemptOutcome::NoAnswer(
+                AttemptStatus::Unknown | AttemptStatus::Rejected,
+            ) => {
+                peer.quality(|q| q.record_failure(now));
             }
             AttemptOutcome::NoAnswer(_) => {}
         }
@@ -378,7 +395,7 @@
 }
 
 /// Returns a connection to the endpoint's idle pool.
-pub(super) async fn recycle(peer: &Peer, conn: Conn) {
+pub(super) async fn recycle(peer: &Peer, conn: EndpointConn) {
     let mut conn = Some(conn);
     poll_fn(|cx| {
         if let Some(conn) = conn.take() {
@@ -389,8 +406,8 @@
     .await;
 }
 
-fn log_attempt(job: &Job, peer: &Peer, end: AttemptEnd, cause: &str) {
-    if logs::allows(Line::Attempt) {
+fn log_attempt(job: &RequestHandler, peer: &Peer, end: AttemptStatus, cause: &str) {
+    if logs::is_allowed(LineKind::Attempt) {
         let endpoint = peer.endpoint();
         tracing::info!(
             event = "attempt ended",
@@ -399,20 +416,20 @@
             addr = %endpoint.addr,
             end = end_name(end),
             cause,
-            content = logs::hash(job.fingerprint),
+            content = logs::format_hash(job.fingerprint),
             attempts = job.history.attempts + 1,
         );
     }
 }
 
 /// Returns the name of an attempt's end in logs and metrics.
-pub(super) fn end_name(end: AttemptEnd) -> &'static str {
+pub(super) fn end_name(end: AttemptStatus) -> &'static str {
     match end {
-        AttemptEnd::Unsent => "unsent",
-        AttemptEnd::Rejected => "rejected",
-        AttemptEnd::Moved => "moved",
-        AttemptEnd::Lacking => "lacking",
-        AttemptEnd::Failed => "failed",
-        AttemptEnd::Unclear => "unclear",
+        AttemptStatus::Unsent => "unsent",
+        AttemptStatus::Rejected => "rejected",
+        AttemptStatus::EndpointReplaced => "moved",
+        AttemptStatus::AdapterMissing => "lacking",
+        AttemptStatus::EndpointError => "failed",
+        AttemptStatus::Unknown => "unclear",
     }
 }
--- a/crates/larkspring/src/direct/entry/body.rs
+++ b/crates/larkspring/src/direct/entry/body.rs
@@ -11,9 +11,9 @@
 use larkspring_core::ids::ContentHash;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-use super::answer::Reason;
-use super::Inner;
-use crate::exec::within;
+use super::answer::ErrorReason;
+use super::EntryState;
+use crate::exec::with_timeout;
 
 /// The body of a request.
 pub(super) enum RequestBody {
@@ -26,7 +26,7 @@
 
 /// Bytes counted toward the entry's limit for buffered bodies.
 pub(super) struct BufferedBytes {
-    entry: Arc<Inner>,
+    entry: Arc<EntryState>,
     len: usize,
 }
 
@@ -36,13 +36,13 @@
 
 /// Reads a body to its end, or up to the limits for buffered bodies.
 pub(super) async fn read_body(
-    entry: &Arc<Inner>,
+    entry: &Arc<EntryState>,
     mut body: Incoming,
     max: usize,
-) -> Result<RequestBody, Reason> {
+) -> Result<RequestBody, ErrorReason> {
     let declared = body.size_hint().exact();
     if declared.is_some_and(|len| len > max as u64) {
-        return Err(Reason::BodyTooLarge);
+        return Err(ErrorReason::BodyTooLarge);
     }
     let mut counted = BufferedBytes { entry: entry.clone(), len: 0 };
     let mut buffered = BytesMut::new();
@@ -50,10 +50,10 @@
         let frame = poll_fn(|cx| Pin::new(&mut body).poll_frame(cx)).await;
         let Some(frame) = frame else { break };
         // A caller that disconnects while it sends the body never reads this answer.
-        let frame = frame.map_err(|_| Reason::BadRequest)?;
+        let frame = frame.map_err(|_| ErrorReason::BadRequest)?;
         let Ok(data) = frame.into_data() else { continue };
         if buffered.len() + data.len() > max {
-            return Err(Reason::BodyTooLarge);
+            return Err(ErrorReason::BodyTooLarge);
         }
         buffered.extend_from_slice(&data);
         if buffered.len() > MAX_BUFFERED_BODY || !counted.add(data.len()) {
@@ -68,7 +68,7 @@
     fn add(&mut self, len: usize) -> bool {
         let all = self.entry.buffered_bytes.fetch_add(len, Ordering::Relaxed) + len;
         self.len += len;
-        all <= self.entry.cfg().max_kept_bytes
+        all <= self.entry.cfg().max_buffered_bytes
     }
 }
 
@@ -123,5 +123,5 @@
         }
     };
     // A body that does not arrive in time is dropped with its connection.
-    let _ = within(DISCARD_TIMEOUT, read).await;
+    let _ = with_timeout(DISCARD_TIMEOUT, read).await;
 }
--- a/crates/larkspring/src/direct/entry/directory.rs
+++ b/crates/larkspring/src/direct/entry/directory.rs
@@ -5,8 +5,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use larkspring_core::fleet::choose::ranked;
-use larkspring_core::fleet::reads::{AgentPace, StorePace, MAX_AGENTS};
+use larkspring_core::fleet::choose::rank_endpoints;
+use larkspring_core::fleet::reads::{
+    AgentReadTiming, StoreReadTiming, MAX_AGENTS_PER_READ,
+};
 use larkspring_core::ids::{HallId, Incarnation, StorePoint};
 use larkspring_proto::residency as wire;
 use larkspring_proto::residency::residency_client::ResidencyClient;
@@ -15,13 +17,16 @@
 
 use super::fleet::Fleet;
 use super::peer::Peer;
-use crate::clock::Moment;
+use crate::clock::BootInstant;
 use crate::direct::cfg::ProcessCfg;
-use crate::direct::edge::{After, Ask, Directory, Kind, Listed, Read, State, Via};
+use crate::direct::edge::{
+    ChangeQuery, DecodedState, EncodedState, ReadOutcome, ReadSource, StateKind,
+    StateQuery, StateStore,
+};
 use crate::direct::logs;
 use crate::direct::reader::StoreReader;
-use crate::exec::within;
-use crate::platform::{Answer, PlatformError};
+use crate::exec::with_timeout;
+use crate::platform::{PlatformError, PlatformFuture};
 use crate::rpc::channel::Pool;
 
 /// Reads the declared state from agents or from the store.
@@ -30,14 +35,14 @@
     fleet: Arc<Fleet>,
     hall: HallId,
     pool: Pool,
-    store_paces: [StorePace; Kind::ALL.len()],
-    agent_paces: [AgentPace; Kind::ALL.len()],
+    store_paces: [StoreReadTiming; StateKind::ALL.len()],
+    agent_paces: [AgentReadTiming; StateKind::ALL.len()],
     /// Maximum age of a routing by which requests are served; `None` for any age.
     max_routing_age: Option<Duration>,
     /// Latest time at which the store is proved to have held no newer routing.
-    proved_at: Mutex<Option<Moment>>,
+    proved_at: Mutex<Option<BootInstant>>,
     /// When the store last answered the source of this entry's state, by kind.
-    store_answered_at: Mutex<[Option<Moment>; Kind::ALL.len()]>,
+    store_answered_at: Mutex<[Option<BootInstant>; StateKind::ALL.len()]>,
     /// Agents that failed to return a usable state, with the time until which they get no
     /// requests.
     skipped: Mutex<Vec<(Incarnation, Instant)>>,
@@ -76,35 +81,39 @@
             fleet,
             hall: cfg.hall.clone(),
             pool: Pool::new(MAX_CONNECTIONS, CONNECT_TIMEOUT),
-            store_paces: Kind::ALL.map(|kind| {
-                StorePace::of_entry(cfg.bound(kind), ProcessCfg::changes(kind))
+            store_paces: StateKind::ALL.map(|kind| {
+                StoreReadTiming::for_entry(
+                    cfg.max_staleness(kind),
+                    ProcessCfg::change_frequency(kind),
+                )
             }),
-            agent_paces: Kind::ALL.map(|kind| AgentPace::of(cfg.bound(kind))),
-            max_routing_age: cfg.trusted(),
+            agent_paces: StateKind::ALL
+                .map(|kind| AgentReadTiming::new(cfg.max_staleness(kind))),
+            max_routing_age: cfg.max_key_age(),
             proved_at: Mutex::default(),
             store_answered_at: Mutex::default(),
             skipped: Mutex::default(),
         }
     }
 
-    async fn read_any(&self, ask: Ask) -> Result<Read, PlatformError> {
+    async fn read_any(&self, ask: StateQuery) -> Result<ReadOutcome, PlatformError> {
         let read = self.read_sources(ask).await;
-        if let Ok(Read::State(state)) = &read {
+        if let Ok(ReadOutcome::State(state)) = &read {
             self.store_answered_at.lock()[ask.kind as usize] =
-                Moment::now().checked_sub(state.age);
+                BootInstant::now().checked_sub(state.age);
         }
-        if let (Kind::Routing, Ok(Read::State(state))) = (ask.kind, &read) {
+        if let (StateKind::Routing, Ok(ReadOutcome::State(state))) = (ask.kind, &read) {
             let mut proved = self.proved_at.lock();
-            *proved = (*proved).max(state.proved);
+            *proved = (*proved).max(state.proved_at);
         }
         read
     }
 
-    async fn read_sources(&self, ask: Ask) -> Result<Read, PlatformError> {
+    async fn read_sources(&self, ask: StateQuery) -> Result<ReadOutcome, PlatformError> {
         let agents = self.agents();
         for peer in &agents {
             match self.read_from(peer, self.without_wait_if_urgent(ask)).await {
-                Ok(state) => return Ok(Read::State(state)),
+                Ok(state) => return Ok(ReadOutcome::State(state)),
                 Err(cause) => self.skip(peer, ask.kind, &cause),
             }
         }
@@ -120,29 +129,30 @@
         };
         for peer in self.other_hall_agents() {
             match self.read_from(&peer, without_wait(ask)).await {
-                Ok(state) => return Ok(Read::State(state)),
+                Ok(state) => return Ok(ReadOutcome::State(state)),
                 Err(cause) => self.skip(&peer, ask.kind, &cause),
             }
         }
         Err(failure)
     }
 
-    async fn read_store(&self, ask: Ask) -> Result<Read, PlatformError> {
+    async fn read_store(&self, ask: StateQuery) -> Result<ReadOutcome, PlatformError> {
         let pace = &self.store_paces[ask.kind as usize];
-        if ask.kind != Kind::Routing || self.max_routing_age.is_none() {
+        if ask.kind != StateKind::Routing || self.max_routing_age.is_none() {
             return self.store.read(ask, pace).await;
         }
-        let wait = ask.after.map_or(Duration::ZERO, |after| after.wait);
+        let wait = ask.changes.map_or(Duration::ZERO, |after| after.max_wait);
         let read = self.store.read(ask, pace);
-        let read = within(wait + pace.answer + STORE_TIMEOUT, read).await;
+        let read = with_timeout(wait + pace.answer_timeout + STORE_TIMEOUT, read).await;
         let timed_out = || PlatformError::NoEffect("read objects", "no answer".into());
         read.unwrap_or_else(|| Err(timed_out()))
     }
 
     /// Returns whether the routing's latest freshness proof is so old that the routing
     /// soon exceeds its maximum age.
-    fn is_urgent(&self, kind: Kind) -> bool {
-        let Some(max_age) = self.max_routing_age.filter(|_| kind == Kind::Routing) else {
+    fn is_urgent(&self, kind: StateKind) -> bool {
+        let Some(max_age) = self.max_routing_age.filter(|_| kind == StateKind::Routing)
+        else {
             return false;
         };
         let urgent = max_age.mul_f64(URGENT_FRACTION);
@@ -150,7 +160,7 @@
     }
 
     /// Limits a read's wait for a change to [`URGENT_WAIT`] if the read is urgent.
-    fn without_wait_if_urgent(&self, ask: Ask) -> Ask {
+    fn without_wait_if_urgent(&self, ask: StateQuery) -> StateQuery {
         match self.is_urgent(ask.kind) {
             true => without_wait(ask),
             false => ask,
@@ -159,7 +169,7 @@
 
     /// Returns the time since the store answered the latest read of a kind, as reported
     /// by the source.
-    fn age(&self, kind: Kind) -> Option<Duration> {
+    fn age(&self, kind: StateKind) -> Option<Duration> {
         self.store_answered_at.lock()[kind as usize].map(|at| at.elapsed())
     }
 
@@ -173,7 +183,7 @@
         if self.fleet.entry_counts().1 < MIN_ENTRIES {
             return Vec::new();
         }
-        self.top_ranked(&self.hall, MAX_AGENTS)
+        self.top_ranked(&self.hall, MAX_AGENTS_PER_READ)
     }
 
     /// Returns the agent of each other hall that reads the store for its own entries, for
@@ -195,20 +205,24 @@
         let is_skipped =
             |id: &Incarnation| skipped.iter().any(|(id_skipped, _)| id_skipped == id);
         let peers = peers.into_iter().map(|p| (p.endpoint().id.clone(), p)).collect();
-        let ranked = ranked(xxh3_64(hall.as_bytes()), peers, |(id, _)| id);
+        let ranked = rank_endpoints(xxh3_64(hall.as_bytes()), peers, |(id, _)| id);
         let first = ranked.into_iter().take(count);
         first.filter(|(id, _)| !is_skipped(id)).map(|(_, p)| p).collect()
     }
 
-    async fn read_from(&self, peer: &Peer, ask: Ask) -> Result<State, String> {
+    async fn read_from(
+        &self,
+        peer: &Peer,
+        ask: StateQuery,
+    ) -> Result<EncodedState, String> {
         let link = peer.link.as_ref().ok_or("no agent runs beside the endpoint")?;
         let pace = &self.agent_paces[ask.kind as usize];
-        let wait = pace.wait_at(self.age(ask.kind).unwrap_or_default());
-        let max_age = self.max_routing_age.filter(|_| ask.kind == Kind::Routing);
+        let wait = pace.long_poll_at(self.age(ask.kind).unwrap_or_default());
+        let max_age = self.max_routing_age.filter(|_| ask.kind == StateKind::Routing);
         let wait =
             max_age.map_or(wait, |age| wait.min(age.mul_f64(ROUTING_WAIT_FRACTION)));
-        let known = ask.after.map_or(StorePoint::default(), |after| after.at);
-        let wait = ask.after.map_or(wait, |after| after.wait.min(wait));
+        let known = ask.changes.map_or(StorePoint::default(), |after| after.known);
+        let wait = ask.changes.map_or(wait, |after| after.max_wait.min(wait));
         let req = wire::ReadRequest {
             kind: wire_kind(ask.kind).into(),
             after: known.revision(),
@@ -221,15 +235,16 @@
             let mut client = ResidencyClient::with_origin(channel, origin);
             client.read(req).await.map_err(|e| e.to_string())
         };
-        let sent = Moment::now();
-        let reply =
-            within(wait + pace.answer, call).await.ok_or("no answer in time")??;
+        let sent = BootInstant::now();
+        let reply = with_timeout(wait + pace.answer_timeout, call)
+            .await
+            .ok_or("no answer in time")??;
         let reply = reply.into_inner();
         let age = Duration::from_millis(reply.age_ms);
         if reply.revision == 0 {
             return Err("it has not read the store yet".into());
         }
-        if age > pace.oldest {
+        if age > pace.max_age {
             return Err(format!("the agent's state is {} ms old", age.as_millis()));
         }
         let at = StorePoint::new(reply.epoch, reply.revision);
@@ -247,55 +262,60 @@
         // the request. Counted from the sending of the request, the proof is dated no
         // later than its true time, however long request and reply were on their way.
         let made = sent + Duration::from_millis(reply.held_ms);
-        Ok(State {
+        Ok(EncodedState {
             // An agent that is behind has no changes to report, and its older point must
             // not replace the known one.
             at: if at < known { known } else { at },
-            whole: reply.whole,
+            is_complete: reply.whole,
             pages: reply.pages,
             changes: reply.changes,
             age,
-            proved: made.checked_sub(proof_age),
-            via: Via::Agent,
+            proved_at: made.checked_sub(proof_age),
+            source: ReadSource::Agent,
         })
     }
 
     /// Returns whether a freshness proof is so old that another source is asked.
-    fn is_proof_too_old(&self, kind: Kind, age: Duration) -> bool {
-        let max_age = self.max_routing_age.filter(|_| kind == Kind::Routing);
+    fn is_proof_too_old(&self, kind: StateKind, age: Duration) -> bool {
+        let max_age = self.max_routing_age.filter(|_| kind == StateKind::Routing);
         max_age.is_some_and(|max_age| age > max_age.mul_f64(URGENT_FRACTION))
     }
 
-    fn skip(&self, peer: &Peer, kind: Kind, cause: &str) {
+    fn skip(&self, peer: &Peer, kind: StateKind, cause: &str) {
         let id = peer.endpoint().id.clone();
         let agent = peer.link.as_ref().map(|link| link.addr()).unwrap_or_default();
-        if logs::allows(logs::Line::Belief) {
+        if logs::is_allowed(logs::LineKind::StateChange) {
             tracing::info!(event = "agent not asked", agent, kind = kind.name(), cause);
         }
         self.skipped.lock().push((id, Instant::now() + SKIP_DURATION));
     }
 }
 
-impl Directory for HallDirectory {
-    fn read(&self, ask: Ask) -> Answer<'_, Read> {
+impl StateStore for HallDirectory {
+    fn fetch(&self, ask: StateQuery) -> PlatformFuture<'_, ReadOutcome> {
         Box::pin(self.read_any(ask))
     }
 
-    fn decode(&self, kind: Kind, state: &State) -> Result<Listed, PlatformError> {
+    fn decode(
+        &self,
+        kind: StateKind,
+        state: &EncodedState,
+    ) -> Result<DecodedState, PlatformError> {
         self.store.decode(kind, state)
     }
 }
 
 /// Limits a read's wait for a change to [`URGENT_WAIT`].
-fn without_wait(ask: Ask) -> Ask {
-    let after = ask.after.map(|a| After { wait: a.wait.min(URGENT_WAIT), ..a });
-    Ask { after, ..ask }
+fn without_wait(ask: StateQuery) -> StateQuery {
+    let after =
+        ask.changes.map(|a| ChangeQuery { max_wait: a.max_wait.min(URGENT_WAIT), ..a });
+    StateQuery { changes: after, ..ask }
 }
 
-fn wire_kind(kind: Kind) -> wire::Kind {
+fn wire_kind(kind: StateKind) -> wire::Kind {
     match kind {
-        Kind::Routing => wire::Kind::Routing,
-        Kind::Endpoints => wire::Kind::Endpoints,
-        Kind::Versions => wire::Kind::Versions,
+        StateKind::Routing => wire::Kind::Routing,
+        StateKind::Endpoints => wire::Kind::Endpoints,
+        StateKind::Versions => wire::Kind::Versions,
     }
 }
--- a/crates/larkspring/src/direct/entry/ends.rs
+++ b/crates/larkspring/src/direct/entry/ends.rs
@@ -11,9 +11,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use larkspring_core::fleet::choose::ranked;
+use larkspring_core::fleet::choose::rank_endpoints;
 use larkspring_core::ids::ContentHash;
-use larkspring_core::quarantine::{End, Standing};
+use larkspring_core::quarantine::{Crash, QuarantineStatus};
 use larkspring_proto::residency as wire;
 use parking_lot::Mutex;
 use smol::Timer;
@@ -23,17 +23,17 @@
 use super::fleet::Fleet;
 use super::link::Link;
 use super::peer::{InterruptedRequest, Peer};
-use crate::direct::conn::Conn;
-use crate::direct::logs::{self, Line};
-use crate::direct::quarantine::{write_end, Findings};
+use crate::direct::conn::EndpointConn;
+use crate::direct::logs::{self, LineKind};
+use crate::direct::quarantine::{encode_crash, CrashReports};
 use crate::direct::stats::Stats;
-use crate::exec::{self, within};
+use crate::exec::{self, with_timeout};
 use crate::http::client::{connect, HttpError};
 
 /// The crashes that this entry detected, and the known crash reports of all entries.
 pub(super) struct CrashDetector {
     fleet: Arc<Fleet>,
-    findings: Arc<Findings>,
+    findings: Arc<CrashReports>,
     stats: Arc<Stats>,
     /// Crashes detected by this entry, the latest last.
     crashes: Mutex<VecDeque<DetectedCrash>>,
@@ -47,7 +47,7 @@
 /// A crash of a run under a request.
 struct DetectedCrash {
     fingerprint: ContentHash,
-    end: End,
+    end: Crash,
     /// Agents to which the crash was reported.
     reported_to: Vec<AgentConnection>,
 }
@@ -74,7 +74,7 @@
     /// Creates a record without crashes.
     pub fn new(
         fleet: Arc<Fleet>,
-        findings: Arc<Findings>,
+        findings: Arc<CrashReports>,
         stats: Arc<Stats>,
     ) -> Arc<Self> {
         let (crashes, agents) = (Mutex::default(), Mutex::default());
@@ -83,7 +83,7 @@
 
     /// Returns whether requests with a fingerprint are quarantined.
     pub fn is_quarantined(&self, fingerprint: ContentHash) -> bool {
-        self.findings.standing(fingerprint) == Standing::Refused
+        self.findings.status(fingerprint) == QuarantineStatus::Refused
     }
 
     /// Records that a request's connection broke before the answer was complete.
@@ -111,7 +111,7 @@
 
     /// Records a complete answer, which clears the suspicion against its request.
     pub fn record_answer(&self, fingerprint: ContentHash) {
-        let Some(cleared) = self.findings.answered(fingerprint) else { return };
+        let Some(cleared) = self.findings.record_answer(fingerprint) else { return };
         self.crashes.lock().retain(|crash| crash.fingerprint != fingerprint);
         let report = wire::Findings { findings: vec![cleared] };
         for (_, link) in self.counting_agents(fingerprint) {
@@ -122,14 +122,15 @@
 
     /// Updates the metrics of quarantined and suspected requests.
     pub fn update_metrics(&self) {
-        self.findings.show();
+        self.findings.write_metrics();
     }
 
     /// Reports recent crashes to agents that take the place of others, until dropped.
     pub async fn run(self: Arc<Self>) {
         loop {
             Timer::after(REPORT_INTERVAL).await;
-            let recent = |crash: &DetectedCrash| crash.end.at.elapsed() < REPORT_PERIOD;
+            let recent =
+                |crash: &DetectedCrash| crash.end.crashed_at.elapsed() < REPORT_PERIOD;
             self.crashes.lock().retain(recent);
             if self.agents_changed() {
                 self.report();
@@ -144,7 +145,7 @@
         let crashed = self.has_crashed(&peer, probed).await;
         let interrupted = peer.take_interrupted();
         let endpoint = peer.endpoint();
-        if logs::allows(Line::Belief) {
+        if logs::is_allowed(LineKind::StateChange) {
             tracing::info!(
                 event = if crashed { "endpoint ended" } else { "endpoint did not end" },
                 endpoint = %endpoint.id,
@@ -152,14 +153,17 @@
                 broken = interrupted.len(),
             );
         }
-        self.stats.look(crashed);
+        self.stats.count_endpoint_check(crashed);
         if !crashed {
             return;
         }
         let run = xxh3_64(endpoint.id.as_bytes());
         for InterruptedRequest { fingerprint, id, began, at } in interrupted {
             let attempt = xxh3_64_with_seed(id.as_bytes(), run);
-            self.record_crash(fingerprint, End { attempt, began, at });
+            self.record_crash(
+                fingerprint,
+                Crash { attempt, sent_at: began, crashed_at: at },
+            );
         }
         self.report();
     }
@@ -171,7 +175,7 @@
             Err(HttpError::Refused(_)) => return true,
             Ok(sock) => {
                 // The probe's connection goes to the idle pool for the next request.
-                if let Ok(conn) = Conn::over(addr, sock).await {
+                if let Ok(conn) = EndpointConn::from_socket(addr, sock).await {
                     recycle(peer, conn).await;
                 }
             }
@@ -180,18 +184,20 @@
             Err(_) => {}
         }
         // The endpoint may have restarted and listen on the port again.
-        within(NEXT_RUN_TIMEOUT, self.fleet.wait_replaced(peer, since)).await.is_some()
+        with_timeout(NEXT_RUN_TIMEOUT, self.fleet.wait_replaced(peer, since))
+            .await
+            .is_some()
     }
 
     /// Keeps a crash for the agents, and counts it in this entry too, in case no agent is
     /// live.
-    fn record_crash(&self, fingerprint: ContentHash, end: End) {
+    fn record_crash(&self, fingerprint: ContentHash, end: Crash) {
         let mut crashes = self.crashes.lock();
         if crashes.len() >= MAX_DETECTED_CRASHES {
             crashes.pop_front();
         }
         crashes.push_back(DetectedCrash { fingerprint, end, reported_to: Vec::new() });
-        self.findings.ended(fingerprint, end);
+        self.findings.record_crash(fingerprint, end);
     }
 
     /// Returns whether the set of live agents changed while there are crashes to report.
@@ -218,7 +224,7 @@
                 if crash.reported_to.contains(&key) {
                     continue;
                 }
-                let ends = vec![write_end(crash.fingerprint, &crash.end)];
+                let ends = vec![encode_crash(crash.fingerprint, &crash.end)];
                 if link.report_crashes(wire::EndedUnder { ends }) {
                     crash.reported_to.push(key);
                 }
@@ -231,7 +237,7 @@
     fn counting_agents(&self, fingerprint: ContentHash) -> Vec<(SocketAddr, Arc<Link>)> {
         let links = self.fleet.live_links().into_iter();
         let named = links.map(|(addr, link)| (addr.to_string().into(), addr, link));
-        let ranked = ranked(fingerprint, named.collect(), |(name, _, _)| name);
+        let ranked = rank_endpoints(fingerprint, named.collect(), |(name, _, _)| name);
         ranked
             .into_iter()
             .take(COUNTING_AGENTS)
--- a/crates/larkspring/src/direct/entry/fleet.rs
+++ b/crates/larkspring/src/direct/entry/fleet.rs
@@ -8,8 +8,8 @@
 use arc_swap::ArcSwap;
 use event_listener::{Event, EventListener};
 use futures_lite::future;
-use larkspring_core::fleet::availability::{Availability, News, Notice};
-use larkspring_core::fleet::choose::weight;
+use larkspring_core::fleet::availability::{Availability, AvailabilityChanges, Notice};
+use larkspring_core::fleet::choose::rendezvous_weight;
 use larkspring_core::fleet::members::Endpoint;
 use larkspring_core::fleet::permits::RunHash;
 use larkspring_core::ids::{HallId, Incarnation, ServiceId, StorePoint};
@@ -18,13 +18,13 @@
 
 use super::link::{engine_declaration, EntryIdentity, Link, LinkEvents, MessageSinks};
 use super::peer::Peer;
-use crate::direct::beliefs::Beliefs;
-use crate::direct::logs::{self, Line};
+use crate::direct::beliefs::ReplicatedState;
+use crate::direct::logs::{self, LineKind};
 use crate::exec;
 
 /// The endpoints of all services, and the connections to the agents beside them.
 pub(super) struct Fleet {
-    beliefs: Arc<Beliefs>,
+    beliefs: Arc<ReplicatedState>,
     identity: EntryIdentity,
     agent_port: u16,
     peers: ArcSwap<Peers>,
@@ -68,7 +68,7 @@
 impl Fleet {
     /// Creates a fleet without endpoints.
     pub fn new(
-        beliefs: Arc<Beliefs>,
+        beliefs: Arc<ReplicatedState>,
         identity: EntryIdentity,
         agent_port: u16,
         sinks: MessageSinks,
@@ -143,7 +143,7 @@
     ) {
         let changes = peer.apply_notice(asked, notice);
         log_notice(peer, notice, changes, source);
-        if changes.leaves || changes.rests {
+        if changes.draining || changes.backoff {
             // Wakes requests that wait for an adapter there, so that they go elsewhere.
             self.availability_changed.notify(usize::MAX);
         }
@@ -167,8 +167,8 @@
     ) -> Option<Arc<Link>> {
         let links = self.links.lock();
         let weight_of = |addr: &SocketAddr| match addr.ip() {
-            IpAddr::V4(ip) => weight(&ip.octets(), run),
-            IpAddr::V6(ip) => weight(&ip.octets(), run),
+            IpAddr::V4(ip) => rendezvous_weight(&ip.octets(), run),
+            IpAddr::V6(ip) => rendezvous_weight(&ip.octets(), run),
         };
         let is_left_out =
             |link: &Arc<Link>| without.is_some_and(|w| Arc::ptr_eq(w, link));
@@ -285,7 +285,7 @@
                 self.apply_notice(
                     &peer,
                     Instant::now(),
-                    Notice::LEAVING,
+                    Notice::DRAINING,
                     NoticeSource::Agent,
                 );
             }
@@ -293,7 +293,7 @@
                 self.apply_notice(
                     &peer,
                     Instant::now(),
-                    Notice::of_rate(rate),
+                    Notice::from_rate(rate),
                     NoticeSource::Agent,
                 );
             }
@@ -330,7 +330,7 @@
         let missing = before.by_id.iter().filter(|(id, _)| !now.by_id.contains_key(*id));
         for (id, peer) in missing {
             let availability = peer.availability();
-            if !availability.lock().is_silent() {
+            if !availability.lock().is_empty() {
                 unlisted.insert(id.clone(), availability);
             }
         }
@@ -399,21 +399,26 @@
     Agent,
 }
 
-fn log_notice(peer: &Peer, notice: Notice, changes: News, source: NoticeSource<'_>) {
-    if !changes.is_any() || !logs::allows(Line::Belief) {
+fn log_notice(
+    peer: &Peer,
+    notice: Notice,
+    changes: AvailabilityChanges,
+    source: NoticeSource<'_>,
+) {
+    if !changes.is_any() || !logs::is_allowed(LineKind::StateChange) {
         return;
     }
     let (request, status) = match source {
         NoticeSource::Answer { request, status } => (Some(request), Some(status)),
         NoticeSource::Agent => (None, None),
     };
-    let rate = peer.availability().lock().rate_named();
+    let rate = peer.availability().lock().advertised_rate();
     tracing::info!(
         event = match changes {
-            News { leaves: true, .. } => "endpoint leaves",
-            News { rests: true, .. } => "endpoint rests",
-            News { .. } if rate.is_some() => "endpoint names a rate",
-            News { .. } => "endpoint names no rate any more",
+            AvailabilityChanges { draining: true, .. } => "endpoint leaves",
+            AvailabilityChanges { backoff: true, .. } => "endpoint rests",
+            AvailabilityChanges { .. } if rate.is_some() => "endpoint names a rate",
+            AvailabilityChanges { .. } => "endpoint names no rate any more",
         },
         endpoint = %peer.endpoint().id,
         request,
--- a/crates/larkspring/src/direct/entry/job.rs
+++ b/crates/larkspring/src/direct/entry/job.rs
@@ -8,14 +8,16 @@
 use http::header::{HeaderName, CONNECTION, CONTENT_LENGTH, HOST};
 use http::{HeaderMap, Method, Request, Response, Uri};
 use hyper::body::Incoming;
-use larkspring_core::fleet::attempt::{next, AttemptEnd, History, Next};
+use larkspring_core::fleet::attempt::{
+    next_step, AttemptHistory, AttemptStatus, NextStep,
+};
 use larkspring_core::fleet::mechanisms::Mechanism;
 use larkspring_core::fleet::routes::{Route, RouteClass, Routing, Service};
 use larkspring_core::ids::{ContentHash, Incarnation};
 use larkspring_core::workspaces::Workspace;
 
 use super::admit::Charge;
-use super::answer::{close_if_draining, own_answer, AnswerBody, Reason};
+use super::answer::{close_if_draining, own_answer, AnswerBody, ErrorReason};
 use super::attempt::{AttemptOutcome, EndpointAnswer};
 use super::body::{discard, read_body, request_fingerprint, RequestBody};
 use super::log::{log_answered, log_refused};
@@ -23,15 +25,15 @@
 use super::relay::Relay;
 use super::serve::ExchangeGuard;
 use super::view::SelectionInputs;
-use super::Inner;
+use super::EntryState;
 use crate::direct::conn::SendBody;
 use crate::direct::edge::CallerRequest;
-use crate::direct::logs::{self, Line};
-use crate::exec::{self, within};
+use crate::direct::logs::{self, LineKind};
+use crate::exec::{self, with_timeout};
 
 /// A request that is being served.
-pub(super) struct Job {
-    pub entry: Arc<Inner>,
+pub(super) struct RequestHandler {
+    pub entry: Arc<EntryState>,
     pub routing: Arc<Routing>,
     pub route: Arc<Route>,
     pub service: Arc<Service>,
@@ -47,7 +49,7 @@
     pub received: Instant,
     /// When the request times out, by the caller's deadline or the route's time-out.
     pub deadline: Instant,
-    pub history: History,
+    pub history: AttemptHistory,
     /// Endpoints that the request was sent to or that could not be reached.
     pub tried: Vec<Incarnation>,
     /// Whether an attempt that the endpoint may be executing is in progress.
@@ -87,37 +89,37 @@
 
 /// Serves one request.
 pub(super) async fn serve(
-    entry: Arc<Inner>,
+    entry: Arc<EntryState>,
     req: Request<Incoming>,
     done: ExchangeGuard,
 ) -> Response<AnswerBody> {
     let received = Instant::now();
     let (head, body) = req.into_parts();
-    let caller = match entry.protocol.caller(&head.headers) {
+    let caller = match entry.protocol.decode_caller(&head.headers) {
         Ok(caller) => caller,
         Err(e) => {
-            if logs::allows(Line::Caller) {
+            if logs::is_allowed(LineKind::Caller) {
                 tracing::info!(event = "refused", reason = "bad request", cause = %e);
             }
-            return own_answer(&entry, Reason::BadRequest, "", None, Some(done));
+            return own_answer(&entry, ErrorReason::BadRequest, "", None, Some(done));
         }
     };
     let needs_adapter = caller.model.is_some();
-    let refuse_with_retry = |reason: Reason, workspace, after, body, done| {
+    let refuse_with_retry = |reason: ErrorReason, workspace, after, body, done| {
         exec::spawn(discard(body)).detach();
         log_refused(&entry, &caller, workspace, reason, received, None, None);
-        entry.stats.request("", reason.name());
+        entry.stats.count_request("", reason.name());
         own_answer(&entry, reason, &caller.id, after, Some(done))
     };
-    let refuse = |reason: Reason, body, done| {
+    let refuse = |reason: ErrorReason, body, done| {
         let after = reason.retry_after(needs_adapter);
         refuse_with_retry(reason, None, after, body, done)
     };
     if entry.shutdown.is_closing() {
-        return refuse(Reason::Stopping, Some(body), done);
+        return refuse(ErrorReason::Stopping, Some(body), done);
     }
     let Some(routing) = routing(&entry).await else {
-        return refuse(Reason::NoRouting, Some(body), done);
+        return refuse(ErrorReason::NoRouting, Some(body), done);
     };
     let host = head.headers.get(HOST).and_then(|h| h.to_str().ok()).unwrap_or_default();
     let Some(route) = routing.find(host, head.uri.path()).cloned() else {
@@ -129,7 +131,7 @@
     };
     let service = route.service(fastrand::u32(..));
     let Some(service) = service.and_then(|name| routing.service(name)).cloned() else {
-        return refuse(Reason::NoEndpoint, Some(body), done);
+        return refuse(ErrorReason::NoEndpoint, Some(body), done);
     };
     let requested_timeout = caller.deadline.unwrap_or(DEFAULT_TIMEOUT);
     let timeout = requested_timeout.min(route.timeout.unwrap_or(requested_timeout));
@@ -140,7 +142,7 @@
             Err(after) => {
                 let name = Some(&*of.name);
                 return refuse_with_retry(
-                    Reason::OverLimit,
+                    ErrorReason::OverLimit,
                     name,
                     Some(after),
                     Some(body),
@@ -151,23 +153,24 @@
         None => None,
     };
     entry.count_request(&service.name);
-    let read = within(timeout, read_body(&entry, body, routing.bounds.max_body)).await;
+    let read =
+        with_timeout(timeout, read_body(&entry, body, routing.bounds.max_body)).await;
     let body = match read {
         Some(Ok(body)) => body,
         Some(Err(reason)) => return refuse(reason, None, done),
-        None => return refuse(Reason::TimedOutNotRun, None, done),
+        None => return refuse(ErrorReason::TimedOutNotRun, None, done),
     };
     let name = workspace.as_ref().map(|w| &*w.name);
     let fingerprint = request_fingerprint(head.uri.path(), name, &body);
     let is_retry = body.is_fingerprinted() && entry.take_refusal(fingerprint);
-    let job = Job {
+    let job = RequestHandler {
         fingerprint,
         is_retry,
         resume_after: caller.resume_after.clone(),
         method: head.method,
         uri: head.uri,
         headers: strip_hop_by_hop_headers(head.headers),
-        history: History::default(),
+        history: AttemptHistory::default(),
         tried: Vec::new(),
         in_flight: Arc::default(),
         waited: Duration::ZERO,
@@ -186,7 +189,7 @@
     job.run(done).await
 }
 
-impl Job {
+impl RequestHandler {
     async fn run(mut self, done: ExchangeGuard) -> Response<AnswerBody> {
         let (left, in_flight) = (self.time_left(), self.in_flight.clone());
         let entry = self.entry.clone();
@@ -196,9 +199,9 @@
                 // An attempt in progress is allowed to finish.
                 future::pending::<()>().await;
             }
-            Some(Err((Reason::Stopping, None)))
+            Some(Err((ErrorReason::Stopping, None)))
         };
-        let ended = future::or(within(left, self.run_attempts()), stopping).await;
+        let ended = future::or(with_timeout(left, self.run_attempts()), stopping).await;
         let may_run = self.in_flight.load(Ordering::Acquire) || self.history.may_have_run;
         let ran = may_run || matches!(ended, Some(Ok(_)));
         if let Some(charge) = self.charge.as_mut().filter(|_| ran) {
@@ -207,12 +210,12 @@
         let (reason, after) = match ended {
             Some(Ok(answered)) => return self.deliver(answered, done),
             Some(Err((reason, after))) => (reason, after),
-            None if may_run => (Reason::TimedOutUnclear, None),
-            None => (Reason::TimedOutNotRun, None),
+            None if may_run => (ErrorReason::TimedOutUnclear, None),
+            None => (ErrorReason::TimedOutNotRun, None),
         };
         // The refusal of a later attempt does not prove that no earlier attempt has run.
         let (reason, after) = match may_run && reason.says_not_run() {
-            true => (Reason::Unclear, None),
+            true => (ErrorReason::Unclear, None),
             false => (reason, after),
         };
         let after = after.or_else(|| reason.retry_after(self.caller.model.is_some()));
@@ -230,7 +233,7 @@
             inputs,
             fingerprint,
         );
-        self.entry.stats.request(&self.route.name, reason.name());
+        self.entry.stats.count_request(&self.route.name, reason.name());
         own_answer(&self.entry, reason, &self.caller.id, after, Some(done))
     }
 
@@ -240,10 +243,10 @@
     /// itself, that has waited past the early part of its objective, or that may have run
     /// and so can't be refused, waits for as long as an answer in time is possible.
     pub fn max_wait(&self) -> Duration {
-        if !self.entry.cfg().without.uses(Mechanism::Patience) {
+        if !self.entry.cfg().disabled_mechanisms.is_enabled(Mechanism::EndpointWait) {
             return Duration::ZERO;
         }
-        let early = self.route.objective.mul_f64(EARLY_FRACTION);
+        let early = self.route.first_byte_objective.mul_f64(EARLY_FRACTION);
         let can_be_refused = !self.is_retry && !self.history.may_have_run;
         match early.checked_sub(self.received.elapsed()) {
             Some(left) if can_be_refused => left.min(self.time_left()),
@@ -255,11 +258,11 @@
     /// left. Returns an endpoint's own error response if no later attempt does better.
     pub async fn run_attempts(
         &mut self,
-    ) -> Result<EndpointAnswer, (Reason, Option<Duration>)> {
+    ) -> Result<EndpointAnswer, (ErrorReason, Option<Duration>)> {
         let mut own_failure = None;
         loop {
             if self.entry.crashes.is_quarantined(self.fingerprint) {
-                return own_failure.ok_or((Reason::CrashesEndpoints, None));
+                return own_failure.ok_or((ErrorReason::CrashesEndpoints, None));
             }
             let selection = match self.select_endpoint().await {
                 Ok(selection) => selection,
@@ -270,32 +273,34 @@
                 AttemptOutcome::Answered(answered) => return Ok(answered),
                 AttemptOutcome::Failed(answered) => {
                     own_failure = Some(answered);
-                    AttemptEnd::Failed
+                    AttemptStatus::EndpointError
                 }
                 AttemptOutcome::NoAnswer(end) => end,
             };
             let reason = match self.record_attempt(end, &peer) {
-                Next::Elsewhere | Next::Same => continue,
-                Next::Deliver | Next::Fail => Reason::Unclear,
-                Next::Refuse if end == AttemptEnd::Unsent => Reason::NotReached,
-                Next::Refuse => Reason::Rejected,
+                NextStep::RetryElsewhere | NextStep::RetrySame => continue,
+                NextStep::ForwardAnswer | NextStep::Fail => ErrorReason::Unclear,
+                NextStep::Refuse if end == AttemptStatus::Unsent => {
+                    ErrorReason::NotReached
+                }
+                NextStep::Refuse => ErrorReason::Rejected,
             };
             return own_failure.ok_or((reason, None));
         }
     }
 
     /// Records the outcome of an attempt and decides how to proceed.
-    pub fn record_attempt(&mut self, end: AttemptEnd, peer: &Arc<Peer>) -> Next {
+    pub fn record_attempt(&mut self, end: AttemptStatus, peer: &Arc<Peer>) -> NextStep {
         self.in_flight.store(false, Ordering::Release);
         self.history.attempts += 1;
         let id = peer.endpoint().id.clone();
-        if end == AttemptEnd::Moved {
+        if end == AttemptStatus::EndpointReplaced {
             // The run is gone, so it does not count as an endpoint that was tried.
             self.history.endpoints = self.history.endpoints.saturating_sub(1);
         }
         match end {
             // The same endpoint is retried once it has loaded the adapter.
-            AttemptEnd::Lacking if self.needs_adapter() => {
+            AttemptStatus::AdapterMissing if self.needs_adapter() => {
                 self.tried.retain(|tried| *tried != id)
             }
             _ if !self.tried.contains(&id) => self.tried.push(id),
@@ -304,8 +309,13 @@
         let entry = self.entry.clone();
         let service = self.service.name.clone();
         let retry = || entry.take_retry(&service);
-        let step =
-            next(self.route.class, end, self.history, self.route.max_attempts, retry);
+        let step = next_step(
+            self.route.class,
+            end,
+            self.history,
+            self.route.max_endpoints,
+            retry,
+        );
         self.history.may_have_run |= end.may_have_run();
         step
     }
@@ -334,10 +344,12 @@
     /// Returns the body for one send; `None` if it was sent before and is not buffered.
     pub fn send_body(&mut self) -> Option<SendBody> {
         match &mut self.body {
-            RequestBody::Buffered { bytes, .. } => Some(SendBody::kept(bytes.clone())),
+            RequestBody::Buffered { bytes, .. } => {
+                Some(SendBody::buffered(bytes.clone()))
+            }
             RequestBody::Streamed(flow) => {
                 let (first, rest) = flow.take()?;
-                Some(SendBody::flow(first, rest, self.routing.bounds.max_body))
+                Some(SendBody::streamed(first, rest, self.routing.bounds.max_body))
             }
         }
     }
@@ -348,12 +360,12 @@
         done: ExchangeGuard,
     ) -> Response<AnswerBody> {
         let entry = self.entry.clone();
-        entry.stats.first_byte(&self.route.name, self.received.elapsed());
+        entry.stats.observe_first_byte(&self.route.name, self.received.elapsed());
         let (mut head, payload) = (answered.head, answered.payload);
         head.headers = strip_hop_by_hop_headers(std::mem::take(&mut head.headers));
         let is_stream = self.route.class.is_stream() && head.status.is_success();
         let outcome = if head.status.is_success() { "answered" } else { "failed there" };
-        entry.stats.request(&self.route.name, outcome);
+        entry.stats.count_request(&self.route.name, outcome);
         log_answered(&self, &answered.endpoint, head.status.as_u16());
         let body = match payload {
             Ok(whole) => AnswerBody::whole(whole, Some(done)),
@@ -377,12 +389,12 @@
 }
 
 /// Returns the routing; just after the entry's start waits briefly for the first routing.
-async fn routing(entry: &Inner) -> Option<Arc<Routing>> {
+async fn routing(entry: &EntryState) -> Option<Arc<Routing>> {
     let changed = entry.beliefs.changed();
     if let Some(routing) = entry.beliefs.routing() {
         return Some(routing);
     }
-    within(ROUTING_TIMEOUT, changed).await;
+    with_timeout(ROUTING_TIMEOUT, changed).await;
     entry.beliefs.routing()
 }
 
--- a/crates/larkspring/src/direct/entry/known.rs
+++ b/crates/larkspring/src/direct/entry/known.rs
@@ -3,10 +3,10 @@
 use std::collections::HashSet;
 use std::time::Instant;
 
-use larkspring_core::fleet::choose::Holding;
-use larkspring_core::fleet::copies::Copies;
-use larkspring_core::fleet::rate::{Rate, RateWord};
-use larkspring_core::fleet::reading::Unread;
+use larkspring_core::fleet::choose::AdapterLocation;
+use larkspring_core::fleet::copies::HostCopies;
+use larkspring_core::fleet::rate::{AdvertisedRate, Rate};
+use larkspring_core::fleet::reading::PrefillBacklog;
 use larkspring_core::ids::{Incarnation, TargetHash};
 use larkspring_proto::residency::{self as wire, Engagement};
 
@@ -23,12 +23,12 @@
     /// begins with a whole state.
     run_on_connection: bool,
     /// The latest change of the advertised rate that was not taken yet.
-    rate_change: Option<RateWord>,
+    rate_change: Option<AdvertisedRate>,
     state: wire::State,
     resident: HashSet<TargetHash>,
     loading: HashSet<TargetHash>,
-    copies: Copies,
-    unread: Option<Unread>,
+    copies: HostCopies,
+    unread: Option<PrefillBacklog>,
     /// Granted holds of this entry at the time of the last state report.
     own_holds_at_report: u32,
 }
@@ -82,7 +82,7 @@
         let drains = state.leaving && !self.state.leaving;
         let run = self.apply_run(now, &state) || drains;
         let rate = self.record_rate(&state);
-        self.unread = Some(Unread::new(now, state.unread_tokens));
+        self.unread = Some(PrefillBacklog::new(now, state.unread_tokens));
         self.own_holds_at_report = own_holds;
         self.state = state;
         StateChanges { engagement, run, rate }
@@ -98,7 +98,7 @@
             running: held.max(own_holds),
             free_slots: self.state.free_places,
             loads_ahead: self.state.loads_ahead + self.loading.len() as u32,
-            unread_tokens: self.unread.map_or(0, |u| u.at(now)),
+            unread_tokens: self.unread.map_or(0, |u| u.tokens_at(now)),
         }
     }
 
@@ -109,7 +109,7 @@
     }
 
     /// Takes the latest change of a run's advertised rate, if any.
-    pub fn take_rate_change(&mut self) -> Option<(Incarnation, RateWord)> {
+    pub fn take_rate_change(&mut self) -> Option<(Incarnation, AdvertisedRate)> {
         let run = self.run.as_ref()?.id.clone();
         Some((run, self.rate_change.take()?))
     }
@@ -131,22 +131,23 @@
         };
         if has_changed {
             let rate = state.rate_millis.map(Rate::from_millis);
-            self.rate_change = Some(rate.map_or(RateWord::Silent, RateWord::Named));
+            self.rate_change =
+                Some(rate.map_or(AdvertisedRate::Missing, AdvertisedRate::Limit));
         }
         has_changed
     }
 
     /// Returns how the engine holds an adapter; `None` before the agent's first message.
-    pub fn holding(&self, target: TargetHash) -> Option<Holding> {
+    pub fn holding(&self, target: TargetHash) -> Option<AdapterLocation> {
         self.last_message?;
         Some(if self.resident.contains(&target) {
-            Holding::Resident
+            AdapterLocation::Resident
         } else if self.loading.contains(&target) {
-            Holding::Loading
+            AdapterLocation::Loading
         } else if self.copies.contains(target) {
-            Holding::Copied
+            AdapterLocation::HostMemory
         } else {
-            Holding::Absent
+            AdapterLocation::WeightStore
         })
     }
 
@@ -182,7 +183,7 @@
         }
         for hash in state.loading.iter().chain(&state.gone) {
             if self.resident.remove(hash) {
-                self.copies.leave(*hash);
+                self.copies.record_unload(*hash);
             }
         }
         for hash in state.resident.iter().chain(&state.gone) {
--- a/crates/larkspring/src/direct/entry/limits.rs
+++ b/crates/larkspring/src/direct/entry/limits.rs
@@ -12,13 +12,13 @@
 
 use event_listener::Event;
 use futures_lite::future;
-use larkspring_core::fleet::choose::ranked;
+use larkspring_core::fleet::choose::rank_endpoints;
 use larkspring_core::fleet::routes::RoutingVersion;
 use larkspring_core::ids::{WorkspaceHash, WorkspaceId};
-use larkspring_core::limits::account::{Accounts, Verdict};
-use larkspring_core::limits::home::{Ask, Grant, Home, Want};
-use larkspring_core::limits::presence::{Presence, Told};
-use larkspring_core::limits::LimitTerms;
+use larkspring_core::limits::account::{LimitDecision, WorkspaceReservations};
+use larkspring_core::limits::home::{BucketOwner, Grant, RequestedUnits, UnitsRequest};
+use larkspring_core::limits::presence::{ServingTime, ServingTimeTracker};
+use larkspring_core::limits::LimitTolerance;
 use larkspring_core::workspaces::Workspace;
 use parking_lot::Mutex;
 use smol::channel::{self, Receiver, Sender};
@@ -26,22 +26,22 @@
 
 use super::fleet::Fleet;
 use super::link::Link;
-use crate::direct::beliefs::Beliefs;
+use crate::direct::beliefs::ReplicatedState;
 use crate::direct::logs;
 
 /// The state of the workspaces' limits in an entry.
 pub(super) struct Limits {
-    beliefs: Arc<Beliefs>,
+    beliefs: Arc<ReplicatedState>,
     fleet: Arc<Fleet>,
-    accounts: Mutex<Accounts<Sender<Verdict>>>,
+    accounts: Mutex<WorkspaceReservations<Sender<LimitDecision>>>,
     /// Grants this entry an even share while no agent is live.
-    local_owner: Mutex<Home>,
+    local_owner: Mutex<BucketOwner>,
     grants: Receiver<Vec<Grant>>,
     /// Bucket owners that did not reply, with the time until which they get no requests.
     skipped: Mutex<Vec<(SocketAddr, Instant)>>,
     /// The current bucket owner of each group and since when it is the owner; `None` is
     /// this entry itself, while no agent is live.
-    owners: Mutex<HashMap<u64, Presence<Option<SocketAddr>>>>,
+    owners: Mutex<HashMap<u64, ServingTimeTracker<Option<SocketAddr>>>>,
     /// When bucket owners were last passed over.
     owners_changed_at: Mutex<Instant>,
     wake: Event,
@@ -64,16 +64,16 @@
     /// Creates limits without reserved units; `grants` receives the bucket owners'
     /// grants.
     pub fn new(
-        terms: LimitTerms,
-        beliefs: Arc<Beliefs>,
+        terms: LimitTolerance,
+        beliefs: Arc<ReplicatedState>,
         fleet: Arc<Fleet>,
         grants: Receiver<Vec<Grant>>,
     ) -> Arc<Self> {
         Arc::new(Self {
             beliefs,
             fleet,
-            accounts: Mutex::new(Accounts::new(terms)),
-            local_owner: Mutex::new(Home::new(terms)),
+            accounts: Mutex::new(WorkspaceReservations::new(terms)),
+            local_owner: Mutex::new(BucketOwner::new(terms)),
             grants,
             skipped: Mutex::default(),
             owners: Mutex::default(),
@@ -88,13 +88,13 @@
         workspace: &Workspace,
         version: RoutingVersion,
         cost: f64,
-    ) -> Verdict {
+    ) -> LimitDecision {
         let (tx, rx) = channel::bounded(1);
         let now = Instant::now();
         let (decided, due) = {
             let mut accounts = self.accounts.lock();
-            let decided = accounts.enter(now, workspace, version, cost, tx);
-            (decided, accounts.is_due(now, workspace))
+            let decided = accounts.admit(now, workspace, version, cost, tx);
+            (decided, accounts.needs_units_now(now, workspace))
         };
         if due || decided.is_none() {
             self.wake.notify(usize::MAX);
@@ -102,18 +102,18 @@
         match decided {
             Some(verdict) => verdict,
             // The sender is dropped only with the whole entry.
-            None => rx.recv().await.unwrap_or(Verdict::Refused(Duration::ZERO)),
+            None => rx.recv().await.unwrap_or(LimitDecision::Refused(Duration::ZERO)),
         }
     }
 
     /// Returns the units of a request that has not run.
     pub fn return_units(&self, workspace: &Workspace, cost: f64) {
-        self.accounts.lock().give_back(Instant::now(), workspace, cost);
+        self.accounts.lock().return_units(Instant::now(), workspace, cost);
     }
 
     /// Returns the units reserved for each workspace.
     pub fn reserved(&self) -> Vec<(WorkspaceId, f64)> {
-        self.accounts.lock().reserved(Instant::now())
+        self.accounts.lock().reserved_units(Instant::now())
     }
 
     /// Requests units from bucket owners and applies their grants, until dropped.
@@ -127,7 +127,7 @@
             if now >= poll_at {
                 poll_at = now + POLL_INTERVAL;
             }
-            let next = self.accounts.lock().next_at();
+            let next = self.accounts.lock().next_expiry();
             let timer = async {
                 Timer::at(next.map_or(poll_at, |at| at.min(poll_at))).await;
                 None
@@ -144,7 +144,7 @@
     }
 
     fn apply_grants(&self, grants: &[Grant]) {
-        let decided = self.accounts.lock().granted(Instant::now(), grants);
+        let decided = self.accounts.lock().apply_grants(Instant::now(), grants);
         notify(decided);
     }
 
@@ -154,8 +154,8 @@
         let mut decided = Vec::new();
         let asked = {
             let mut accounts = self.accounts.lock();
-            accounts.set_entries(self.entries());
-            accounts.unanswered(now, &mut decided)
+            accounts.set_entry_count(self.entries());
+            accounts.expire_unanswered(now, &mut decided)
         };
         notify(decided);
         // Units requested before the last change of owners were requested from the
@@ -167,7 +167,7 @@
         *changed = now;
         for group in 0..self.groups() {
             let Some((owner, _)) = self.owner(now, group) else { continue };
-            if logs::allows(logs::Line::Belief) {
+            if logs::is_allowed(logs::LineKind::StateChange) {
                 tracing::info!(event = "home of limits passed over", agent = %owner);
             }
             self.skipped.lock().push((owner, now + SKIP_DURATION));
@@ -176,13 +176,13 @@
 
     /// Sends the requested units of each group to its bucket owner in one message.
     fn request_units(&self, now: Instant, is_poll: bool) {
-        let wants = self.accounts.lock().wants(now, is_poll);
+        let wants = self.accounts.lock().units_to_request(now, is_poll);
         if wants.is_empty() && !is_poll {
             return;
         }
         let groups = self.groups();
         for group in 0..groups {
-            let of_group = |w: &&Want| group_of(w.workspace, groups) == group;
+            let of_group = |w: &&RequestedUnits| group_of(w.workspace, groups) == group;
             let wants: Vec<_> = wants.iter().filter(of_group).copied().collect();
             if wants.is_empty() && !is_poll {
                 continue;
@@ -191,11 +191,17 @@
             let presence =
                 self.presence(now, group, owner.as_ref().map(|(addr, _)| *addr));
             let entries = self.entries() as usize;
-            let ask = Ask { told: presence, entries, wants: &wants };
+            let ask = UnitsRequest {
+                serving_time: presence,
+                entry_count: entries,
+                units: &wants,
+            };
             match owner {
                 // A request for units that can't be sent is later treated as unanswered.
                 Some((_, link)) => drop(link.request_units(&ask)),
-                None => self.apply_grants(&self.local_owner.lock().ask(now, &ask)),
+                None => {
+                    self.apply_grants(&self.local_owner.lock().grant_units(now, &ask))
+                }
             }
         }
     }
@@ -203,10 +209,16 @@
     /// Returns the presence that a request to a bucket owner reports. After a change of
     /// the owner, units from the previous owner stay usable but are not returned to the
     /// new one.
-    fn presence(&self, now: Instant, group: u64, owner: Option<SocketAddr>) -> Told {
-        let presence = self.owners.lock().entry(group).or_default().ask(now, owner);
-        if presence.joined {
-            self.accounts.lock().home_changed();
+    fn presence(
+        &self,
+        now: Instant,
+        group: u64,
+        owner: Option<SocketAddr>,
+    ) -> ServingTime {
+        let presence =
+            self.owners.lock().entry(group).or_default().record_request(now, owner);
+        if presence.is_new_owner {
+            self.accounts.lock().record_owner_change();
         }
         presence
     }
@@ -235,7 +247,7 @@
         let links = self.fleet.live_links().into_iter();
         let asked = links.filter(|(addr, _)| skipped.iter().all(|(out, _)| out != addr));
         let named = asked.map(|(addr, link)| (addr.to_string().into(), addr, link));
-        let ranked = ranked(group, named.collect(), |(name, _, _)| name);
+        let ranked = rank_endpoints(group, named.collect(), |(name, _, _)| name);
         ranked.into_iter().next().map(|(_, addr, link)| (addr, link))
     }
 }
@@ -244,7 +256,7 @@
     workspace % groups.max(1)
 }
 
-fn notify(decided: Vec<(Sender<Verdict>, Verdict)>) {
+fn notify(decided: Vec<(Sender<LimitDecision>, LimitDecision)>) {
     for (request, verdict) in decided {
         // The request may have ended meanwhile; its units then expire.
         let _ = request.try_send(verdict);
--- a/crates/larkspring/src/direct/entry/link.rs
+++ b/crates/larkspring/src/direct/entry/link.rs
@@ -11,12 +11,12 @@
 
 use event_listener::Event;
 use fastrand::Rng;
-use larkspring_core::fleet::choose::Holding;
-use larkspring_core::fleet::permits::Verdict;
-use larkspring_core::fleet::rate::RateWord;
+use larkspring_core::fleet::choose::AdapterLocation;
+use larkspring_core::fleet::permits::PermitResponse;
+use larkspring_core::fleet::rate::AdvertisedRate;
 use larkspring_core::fleet::routes::Routing;
 use larkspring_core::ids::{HallId, Incarnation, ServiceId, TargetHash, VmId};
-use larkspring_core::limits::home::{Ask, Grant};
+use larkspring_core::limits::home::{Grant, UnitsRequest};
 use larkspring_core::retry::backoff;
 use larkspring_proto::residency as wire;
 use larkspring_proto::residency::from_agent::Kind as FromAgentKind;
@@ -30,10 +30,10 @@
 use self::hold::HoldRecord;
 pub(super) use self::hold::{Hold, HoldEnd, HoldRequest};
 use super::known::{EngineState, EngineView, ReportedRun};
-use crate::direct::limits::{read_grant, write_want};
+use crate::direct::limits::{decode_grant, encode_unit_request};
 use crate::direct::logs;
-use crate::direct::quarantine::Findings;
-use crate::exec::within;
+use crate::direct::quarantine::CrashReports;
+use crate::exec::with_timeout;
 use crate::rpc::channel::Pool;
 
 /// The connection to the agent beside an engine.
@@ -44,7 +44,7 @@
     engine_state: Mutex<EngineState>,
     holds: Mutex<HashMap<u64, HoldRecord>>,
     /// Permit requests that await a reply, by id.
-    pending_permits: Mutex<HashMap<u64, Sender<Verdict>>>,
+    pending_permits: Mutex<HashMap<u64, Sender<PermitResponse>>>,
     next_id: AtomicU64,
     granted_holds: AtomicU32,
     /// Number of connections opened so far.
@@ -71,7 +71,7 @@
     /// Receives the grants of agents that are bucket owners.
     pub grants: Sender<Vec<Grant>>,
     /// The known crash reports.
-    pub findings: Arc<Findings>,
+    pub findings: Arc<CrashReports>,
 }
 
 /// The identity of this entry.
@@ -175,10 +175,10 @@
         let mut declared_version = first.routing_version;
         send(&tx, Kind::Engine(first));
         self.restore_holds(&tx);
-        if let Some(findings) = self.events.sinks.findings.all() {
+        if let Some(findings) = self.events.sinks.findings.latest() {
             send(&tx, Kind::Findings(findings));
         }
-        let up = match within(CONNECT_TIMEOUT, client.follow(rx)).await {
+        let up = match with_timeout(CONNECT_TIMEOUT, client.follow(rx)).await {
             Some(Ok(up)) => up,
             Some(Err(e)) => return e.to_string(),
             None => return "no answer".into(),
@@ -192,7 +192,7 @@
                 declared_version = declared.routing_version;
                 self.send_message(Kind::Engine(declared));
             }
-            match within(MESSAGE_TIMEOUT, down.message()).await {
+            match with_timeout(MESSAGE_TIMEOUT, down.message()).await {
                 Some(Ok(Some(message))) => self.receive(message),
                 Some(Ok(None)) => return "the agent closed the connection".into(),
                 Some(Err(e)) => return status_text(&e),
@@ -207,12 +207,12 @@
 
     /// Requests units from the agent as bucket owner; returns whether the request was
     /// queued.
-    pub fn request_units(&self, ask: &Ask<'_>) -> bool {
+    pub fn request_units(&self, ask: &UnitsRequest<'_>) -> bool {
         self.send_message(Kind::Reserve(wire::Reserve {
-            wants: ask.wants.iter().map(write_want).collect(),
-            told_ms: ask.told.time.as_millis() as u64,
-            joined: ask.told.joined,
-            entries: ask.entries as u32,
+            wants: ask.units.iter().map(encode_unit_request).collect(),
+            told_ms: ask.serving_time.elapsed.as_millis() as u64,
+            joined: ask.serving_time.is_new_owner,
+            entries: ask.entry_count as u32,
         }))
     }
 
@@ -240,7 +240,7 @@
 
     /// Returns how the engine holds an adapter by the agent's reports; `None` before the
     /// first one.
-    pub fn holding(&self, target: TargetHash) -> Option<Holding> {
+    pub fn holding(&self, target: TargetHash) -> Option<AdapterLocation> {
         self.engine_state.lock().holding(target)
     }
 
@@ -266,7 +266,7 @@
     }
 
     /// Takes the agent's latest change of a run's advertised rate, if any.
-    pub fn take_rate_change(&self) -> Option<(Incarnation, RateWord)> {
+    pub fn take_rate_change(&self) -> Option<(Incarnation, AdvertisedRate)> {
         self.engine_state.lock().take_rate_change()
     }
 
@@ -310,7 +310,7 @@
             }
             Some(FromAgentKind::Reserved(reserved)) => {
                 drop(engine_state);
-                let grants = reserved.grants.iter().map(read_grant).collect();
+                let grants = reserved.grants.iter().map(decode_grant).collect();
                 // The receiver lives as long as the entry.
                 let _ = self.events.sinks.grants.try_send(grants);
             }
@@ -320,7 +320,7 @@
             }
             Some(FromAgentKind::Findings(findings)) => {
                 drop(engine_state);
-                self.events.sinks.findings.learn(&findings);
+                self.events.sinks.findings.apply(&findings);
             }
             Some(FromAgentKind::Refused(refused)) => {
                 drop(engine_state);
@@ -331,7 +331,7 @@
             None => {}
         }
         if regained {
-            logs::dependency(&format!("agent {}", self.addr), true, "");
+            logs::log_dependency(&format!("agent {}", self.addr), true, "");
         }
     }
 
@@ -358,7 +358,7 @@
     }
 
     fn log_lost(&self, cause: &str) {
-        logs::dependency(&format!("agent {}", self.addr), false, cause);
+        logs::log_dependency(&format!("agent {}", self.addr), false, cause);
     }
 
     fn time_since_message(&self) -> Duration {
@@ -380,7 +380,7 @@
     let service = routing.service(service);
     let engine = service.and_then(|s| s.engine.as_ref());
     let models = engine.map_or(&[][..], |e| &e.models[..]);
-    let places = engine.and_then(|e| models.iter().map(|m| e.places(m)).min());
+    let places = engine.and_then(|e| models.iter().map(|m| e.adapter_slots_for(m)).min());
     wire::Engine {
         routing_version: routing.version,
         places: places.unwrap_or_default() as u64,
--- a/crates/larkspring/src/direct/entry/log.rs
+++ b/crates/larkspring/src/direct/entry/log.rs
@@ -4,35 +4,37 @@
 
 use larkspring_core::ids::{ContentHash, Incarnation};
 
-use super::answer::Reason;
-use super::job::Job;
+use super::answer::ErrorReason;
+use super::job::RequestHandler;
 use super::view::SelectionInputs;
-use super::Inner;
-use crate::direct::edge::{CallerRequest, Kind};
-use crate::direct::logs::{self, Line};
+use super::EntryState;
+use crate::direct::edge::{CallerRequest, StateKind};
+use crate::direct::logs::{self, LineKind};
 
 /// Logs a request that larkspring answered itself.
 pub(super) fn log_refused(
-    entry: &Inner,
+    entry: &EntryState,
     caller: &CallerRequest,
     workspace: Option<&str>,
-    reason: Reason,
+    reason: ErrorReason,
     since: Instant,
     inputs: Option<&SelectionInputs>,
     fingerprint: Option<ContentHash>,
 ) {
-    if logs::allows(Line::Unserved) {
+    if logs::is_allowed(LineKind::Failed) {
         tracing::warn!(
             event = "unserved",
             request = caller.id,
-            content = fingerprint.map(logs::hash),
+            content = fingerprint.map(logs::format_hash),
             workspace,
             reason = reason.name(),
             status = reason.status().as_u16(),
             took_ms = since.elapsed().as_millis() as u64,
             routing = entry.beliefs.routing().map(|r| r.version),
-            routing_proof_age_ms =
-                entry.beliefs.proof_age(Kind::Routing).map(|age| age.as_millis() as u64),
+            routing_proof_age_ms = entry
+                .beliefs
+                .proof_age(StateKind::Routing)
+                .map(|age| age.as_millis() as u64),
             store_age_ms = entry.beliefs.store_age().map(|age| age.as_millis() as u64),
             endpoint = inputs.map(|i| &*i.endpoint),
             holding = inputs.map(|i| i.holding),
@@ -46,8 +48,8 @@
 }
 
 /// Logs a request whose answer from an endpoint is delivered.
-pub(super) fn log_answered(job: &Job, endpoint: &Incarnation, status: u16) {
-    if logs::allows(Line::Served) {
+pub(super) fn log_answered(job: &RequestHandler, endpoint: &Incarnation, status: u16) {
+    if logs::is_allowed(LineKind::Served) {
         let inputs = job.inputs.as_ref();
         let model = job.caller.model.as_ref();
         let age = job.entry.beliefs.store_age();
@@ -59,7 +61,7 @@
             endpoint = %endpoint,
             status,
             first_byte_ms = job.received.elapsed().as_millis() as u64,
-            objective_ms = job.route.objective.as_millis() as u64,
+            objective_ms = job.route.first_byte_objective.as_millis() as u64,
             waited_ms = job.waited.as_millis() as u64,
             attempts = job.history.attempts + 1,
             routing = job.routing.version,
--- a/crates/larkspring/src/direct/entry/mod.rs
+++ b/crates/larkspring/src/direct/entry/mod.rs
@@ -44,7 +44,7 @@
 use futures_lite::future;
 use http::StatusCode;
 use larkspring_core::ids::{ContentHash, ServiceId, TargetHash};
-use larkspring_core::retry::RepeatWindow;
+use larkspring_core::retry::RetryWindow;
 use parking_lot::Mutex;
 use quick_error::quick_error;
 use smol::net::TcpListener;
@@ -56,10 +56,10 @@
 use self::limits::Limits;
 use self::link::{EntryIdentity, MessageSinks};
 use self::permits::Permits;
-use super::beliefs::Beliefs;
+use super::beliefs::ReplicatedState;
 use super::cfg::EntryCfg;
-use super::edge::{Directory, Kind, Protocol};
-use super::quarantine::Findings;
+use super::edge::{Protocol, StateKind, StateStore};
+use super::quarantine::CrashReports;
 use super::reader::StoreReader;
 use super::stats::Stats;
 use super::{logs, side, watch};
@@ -80,21 +80,21 @@
 pub struct Entry {
     /// The address on which callers are accepted.
     pub addr: SocketAddr,
-    inner: Arc<Inner>,
+    inner: Arc<EntryState>,
     tasks: Vec<Task<()>>,
 }
 
 /// The state shared by all requests of an entry.
-pub(super) struct Inner {
+pub(super) struct EntryState {
     cfg: ArcSwap<EntryCfg>,
     protocol: Arc<dyn Protocol>,
-    beliefs: Arc<Beliefs>,
+    beliefs: Arc<ReplicatedState>,
     fleet: Arc<Fleet>,
     limits: Arc<Limits>,
     permits: Permits,
     crashes: Arc<CrashDetector>,
     stats: Arc<Stats>,
-    retry_budgets: Mutex<HashMap<ServiceId, RepeatWindow>>,
+    retry_budgets: Mutex<HashMap<ServiceId, RetryWindow>>,
     /// Adapters whose preloading was requested, with the time of the request.
     preloads: Mutex<HashMap<TargetHash, Instant>>,
     /// Requests refused with a retry time, with the time of the refusal.
@@ -138,14 +138,14 @@
     pub async fn start(
         cfg: EntryCfg,
         protocol: Arc<dyn Protocol>,
-        directory: Arc<dyn Directory>,
+        directory: Arc<dyn StateStore>,
     ) -> Result<Self, StartError> {
-        let beliefs = Arc::new(Beliefs::default());
+        let beliefs = Arc::new(ReplicatedState::default());
         let stats = Arc::new(Stats::new());
         let identity =
             EntryIdentity { vm: cfg.process.vm.clone(), hall: cfg.process.hall.clone() };
         let (tx, grants) = channel::unbounded();
-        let findings = Arc::new(Findings::new(stats.clone()));
+        let findings = Arc::new(CrashReports::new(stats.clone()));
         let sinks = MessageSinks { grants: tx, findings: findings.clone() };
         let fleet = Fleet::new(beliefs.clone(), identity, cfg.process.agent_port, sinks);
         let crashes = CrashDetector::new(fleet.clone(), findings, stats.clone());
@@ -156,7 +156,7 @@
             listener.map_err(|e| StartError::Listen("callers", cfg.listen, e))?;
         let addr = listener.local_addr().unwrap_or(cfg.listen);
         let (readiness, metrics) = (cfg.readiness, cfg.process.metrics);
-        let inner = Arc::new(Inner {
+        let inner = Arc::new(EntryState {
             cfg: ArcSwap::from_pointee(cfg),
             protocol,
             beliefs: beliefs.clone(),
@@ -179,7 +179,7 @@
         tasks.push(exec::spawn(crashes.run()));
         tasks.push(exec::spawn(fleet.clone().follow()));
         tasks.push(exec::spawn(fleet.sweep()));
-        tasks.push(exec::spawn(logs::report_left_out()));
+        tasks.push(exec::spawn(logs::log_dropped_lines()));
         let ready = inner.clone();
         let answer = move |_: &str| (ready.readiness(), Vec::new());
         let served = side::serve(readiness, Arc::new(answer)).await;
@@ -201,7 +201,7 @@
     /// Applies changed settings, except for addresses, which need a restart.
     pub fn reload(&self, cfg: EntryCfg) {
         for window in self.inner.retry_budgets.lock().values_mut() {
-            window.set_terms(cfg.repeats);
+            window.set_terms(cfg.retries);
         }
         self.inner.cfg.store(Arc::new(cfg));
     }
@@ -234,7 +234,7 @@
     }
 }
 
-impl Inner {
+impl EntryState {
     /// Returns the current settings.
     fn cfg(&self) -> Guard<Arc<EntryCfg>> {
         self.cfg.load()
@@ -254,33 +254,35 @@
     }
 
     fn metrics(&self) -> Vec<u8> {
-        let unavailable_ms =
-            self.beliefs.store_away_since().map_or(0, |at| at.elapsed().as_millis());
+        let unavailable_ms = self
+            .beliefs
+            .store_unavailable_since()
+            .map_or(0, |at| at.elapsed().as_millis());
         let version = self.beliefs.routing().map_or(0, |r| r.version);
-        self.stats.state("routing_version", version as i64);
-        self.stats.state("store_away_ms", unavailable_ms as i64);
-        for kind in Kind::ALL {
-            self.stats.proof_age(kind.name(), self.beliefs.proof_age(kind));
+        self.stats.set_gauge("routing_version", version as i64);
+        self.stats.set_gauge("store_away_ms", unavailable_ms as i64);
+        for kind in StateKind::ALL {
+            self.stats.set_proof_age(kind.name(), self.beliefs.proof_age(kind));
         }
         for (workspace, units) in self.limits.reserved() {
-            self.stats.reserved(&workspace, units as i64);
+            self.stats.set_reserved_units(&workspace, units as i64);
         }
         self.crashes.update_metrics();
-        self.stats.state("endpoints", self.fleet.len() as i64);
+        self.stats.set_gauge("endpoints", self.fleet.len() as i64);
         let connections = self.shutdown.connections.load(Ordering::Relaxed);
-        self.stats.state("caller_connections", connections as i64);
-        self.stats.text()
+        self.stats.set_gauge("caller_connections", connections as i64);
+        self.stats.encode()
     }
 
     /// Counts a request toward the retry budget that the service's entries share.
     fn count_request(&self, service: &ServiceId) {
         let mut retry_budgets = self.retry_budgets.lock();
-        let terms = self.cfg().repeats;
-        let fresh = || RepeatWindow::new(terms);
+        let terms = self.cfg().retries;
+        let fresh = || RetryWindow::new(terms);
         retry_budgets
             .entry(service.clone())
             .or_insert_with(fresh)
-            .request(Instant::now());
+            .record_request(Instant::now());
     }
 
     /// Takes one retry from the shared budget; `false` if the budget is used up.
@@ -288,7 +290,7 @@
         let (entries, _) = self.fleet.entry_counts();
         let mut retry_budgets = self.retry_budgets.lock();
         let window = retry_budgets.get_mut(service);
-        window.is_some_and(|w| w.repeat(Instant::now(), entries as usize))
+        window.is_some_and(|w| w.try_retry(Instant::now(), entries as usize))
     }
 
     /// Returns whether an adapter may be preloaded now, and if so records the request.
@@ -312,7 +314,7 @@
 /// Limits the number of refused requests that are remembered.
 const MAX_RECENT_REFUSALS: usize = 8192;
 
-impl Inner {
+impl EntryState {
     /// Records that a request was refused with a retry time.
     fn record_refusal(&self, fingerprint: ContentHash) {
         let now = Instant::now();
--- a/crates/larkspring/src/direct/entry/notices.rs
+++ b/crates/larkspring/src/direct/entry/notices.rs
@@ -6,12 +6,12 @@
 use http::response::Parts;
 
 use super::fleet::NoticeSource;
-use super::job::Job;
+use super::job::RequestHandler;
 use super::peer::Peer;
 use crate::direct::edge::{AnswerHead, Echo};
-use crate::direct::unknown::Place;
+use crate::direct::unknown::NameSource;
 
-impl Job {
+impl RequestHandler {
     /// Applies the notice in an answer's headers to the endpoint.
     ///
     /// Ignores answers to other requests and answers of other runs at the address.
@@ -24,9 +24,9 @@
         peer: &Arc<Peer>,
         asked: Instant,
     ) {
-        let unknown = self.entry.protocol.unknown_words(&head.headers);
-        self.entry.stats.unknown_words(Place::Answer, &unknown);
-        let notice = self.entry.protocol.notice(head.status, &head.headers);
+        let unknown = self.entry.protocol.unknown_names(&head.headers);
+        self.entry.stats.count_unknown_names(NameSource::Answer, &unknown);
+        let notice = self.entry.protocol.decode_notice(head.status, &head.headers);
         let of_run =
             answer_head.incarnation.as_ref().is_none_or(|id| *id == peer.endpoint().id);
         if answer_head.echo == Echo::Other || !of_run {
@@ -38,8 +38,8 @@
         // A missing rate ends a rate limit only if the answer is certainly the
         // endpoint's.
         let is_sure = answer_head.echo == Echo::Same;
-        let notice = if is_sure { notice } else { notice.without_silence() };
-        self.entry.stats.notice(notice);
+        let notice = if is_sure { notice } else { notice.ignoring_missing_rate() };
+        self.entry.stats.count_notice(notice);
         let (request, status) = (&*self.caller.id, head.status.as_u16());
         self.entry.fleet.apply_notice(
             peer,
--- a/crates/larkspring/src/direct/entry/peer.rs
+++ b/crates/larkspring/src/direct/entry/peer.rs
@@ -8,16 +8,16 @@
 use std::time::{Duration, Instant};
 
 use arc_swap::ArcSwap;
-use larkspring_core::fleet::availability::{Availability, News, Notice};
+use larkspring_core::fleet::availability::{Availability, AvailabilityChanges, Notice};
 use larkspring_core::fleet::members::Endpoint;
-use larkspring_core::fleet::quality::Quality;
-use larkspring_core::fleet::rate::{RateLimit, RateWord};
+use larkspring_core::fleet::quality::EndpointQuality;
+use larkspring_core::fleet::rate::{AdvertisedRate, RateLimit};
 use larkspring_core::ids::{ContentHash, TargetHash};
 use parking_lot::Mutex;
 
 use super::known::ReportedRun;
 use super::link::Link;
-use crate::direct::conn::Conn;
+use crate::direct::conn::EndpointConn;
 use crate::direct::edge::{ModelRequest, PromptPart, RequestId};
 
 /// An endpoint and this entry's state for it.
@@ -32,13 +32,13 @@
     rate_used_up_until: Mutex<Option<Instant>>,
     /// When this record was created.
     created: Instant,
-    idle: Mutex<Vec<Conn>>,
+    idle: Mutex<Vec<EndpointConn>>,
     open_requests: AtomicU32,
     /// Prompt tokens of this entry's requests that are in prefill.
     prefill_tokens: AtomicU32,
     /// Until when the endpoint counts as gone, after another run answered at its address.
     gone_until: Mutex<Option<Instant>>,
-    quality: Mutex<Quality>,
+    quality: Mutex<EndpointQuality>,
     cached_parts: Mutex<CachedParts>,
     /// Until when answers to other requests are to be expected on the connections.
     corrupted_until: Mutex<Option<Instant>>,
@@ -96,7 +96,7 @@
         link: Option<Arc<Link>>,
         availability: Arc<Mutex<Availability>>,
     ) -> Arc<Self> {
-        availability.lock().listed(endpoint.start);
+        availability.lock().record_listed_start(endpoint.start);
         Arc::new(Self {
             availability,
             rate_used_up_until: Mutex::default(),
@@ -107,7 +107,7 @@
             open_requests: AtomicU32::new(0),
             prefill_tokens: AtomicU32::new(0),
             gone_until: Mutex::default(),
-            quality: Mutex::new(Quality::new(Instant::now())),
+            quality: Mutex::new(EndpointQuality::new(Instant::now())),
             cached_parts: Mutex::default(),
             corrupted_until: Mutex::default(),
             interrupted: Mutex::default(),
@@ -133,7 +133,7 @@
         self.is_listed_open()
             && !self
                 .current_availability()
-                .is_some_and(|availability| availability.leaves())
+                .is_some_and(|availability| availability.is_draining())
     }
 
     /// Returns whether the endpoint is listed as taking requests and no other run is
@@ -145,8 +145,13 @@
 
     /// Applies a notice from an answer to a request sent at `asked`, or from the agent,
     /// and returns the changes.
-    pub fn apply_notice(&self, asked: Instant, notice: Notice) -> News {
-        self.availability.lock().hear(Instant::now(), asked, notice, fastrand::f64())
+    pub fn apply_notice(&self, asked: Instant, notice: Notice) -> AvailabilityChanges {
+        self.availability.lock().apply_notice(
+            Instant::now(),
+            asked,
+            notice,
+            fastrand::f64(),
+        )
     }
 
     /// Returns the endpoint's advertised rate limit while the limit is in force.
@@ -160,7 +165,7 @@
     pub fn has_certain_rate_limit(&self) -> bool {
         let Some(limit) = self.rate_limit() else { return false };
         let by_agent = self.link.as_ref().is_some_and(|link| link.has_advertised_rate());
-        by_agent || limit.told_at().elapsed() < RATE_CERTAINTY_TIMEOUT
+        by_agent || limit.updated_at().elapsed() < RATE_CERTAINTY_TIMEOUT
     }
 
     /// Records that the endpoint's rate is used up for the time `wait`.
@@ -183,7 +188,7 @@
     /// rate; `None` if neither applies.
     pub fn unavailable_for(&self) -> Option<Duration> {
         let (now, availability) = (Instant::now(), self.current_availability()?);
-        availability.rests_for(now).max(self.rate_used_up_for(now, &availability))
+        availability.remaining_backoff(now).max(self.rate_used_up_for(now, &availability))
     }
 
     fn rate_used_up_for(
@@ -198,7 +203,7 @@
     }
 
     /// Takes the agent's latest change of the endpoint's advertised rate, if any.
-    pub fn take_rate_change(&self) -> Option<RateWord> {
+    pub fn take_rate_change(&self) -> Option<AdvertisedRate> {
         let (run, rate) = self.link.as_ref()?.take_rate_change()?;
         (run == self.endpoint.load().id).then_some(rate)
     }
@@ -218,13 +223,13 @@
     /// the same id; `None` if no notice is in force, as for most endpoints.
     fn current_availability(&self) -> Option<Availability> {
         let mut availability = self.availability.lock();
-        if availability.is_silent() {
+        if availability.is_empty() {
             return None;
         }
         let run = self.link.as_ref().and_then(|link| link.reported_run());
         let restarted = run.filter(|r| r.in_place && r.id == self.endpoint.load().id);
         if let Some(run) = restarted {
-            availability.renewed(run.since);
+            availability.clear_before(run.since);
         }
         Some(*availability)
     }
@@ -264,7 +269,7 @@
 
     /// Updates the endpoint as listed by the platform.
     pub fn update(&self, endpoint: Arc<Endpoint>) {
-        self.availability.lock().listed(endpoint.start);
+        self.availability.lock().record_listed_start(endpoint.start);
         self.endpoint.store(endpoint);
     }
 
@@ -285,13 +290,17 @@
     }
 
     /// Reads or updates the quality record that is kept from the results of attempts.
-    pub fn quality<T>(&self, f: impl FnOnce(&mut Quality) -> T) -> T {
+    pub fn quality<T>(&self, f: impl FnOnce(&mut EndpointQuality) -> T) -> T {
         f(&mut self.quality.lock())
     }
 
     /// Takes an idle connection that can carry a request now. With `run_once`, for a
     /// request that must not run twice, stricter limits apply.
-    pub fn take_idle(&self, cx: &mut Context<'_>, run_once: bool) -> Option<Conn> {
+    pub fn take_idle(
+        &self,
+        cx: &mut Context<'_>,
+        run_once: bool,
+    ) -> Option<EndpointConn> {
         let now = Instant::now();
         if run_once && self.is_corrupted(now) {
             return None;
@@ -299,7 +308,7 @@
         loop {
             let mut conn = self.idle.lock().pop()?;
             let limit = idle_limit(&conn, run_once);
-            let idle = now.saturating_duration_since(conn.rested_since);
+            let idle = now.saturating_duration_since(conn.idle_since);
             if idle >= limit {
                 if run_once && idle < idle_limit(&conn, false) {
                     self.idle.lock().insert(0, conn);
@@ -314,11 +323,11 @@
     }
 
     /// Adds a connection to the idle pool, if it can carry another request.
-    pub fn add_idle(&self, mut conn: Conn, cx: &mut Context<'_>) {
+    pub fn add_idle(&self, mut conn: EndpointConn, cx: &mut Context<'_>) {
         if !conn.is_ready(cx) {
             return;
         }
-        conn.rested_since = Instant::now();
+        conn.idle_since = Instant::now();
         let mut idle = self.idle.lock();
         if idle.len() < MAX_IDLE_CONNECTIONS {
             idle.push(conn);
@@ -329,7 +338,7 @@
     pub fn close_expired(&self) {
         let now = Instant::now();
         self.idle.lock().retain(|conn| {
-            now.saturating_duration_since(conn.rested_since) < idle_limit(conn, false)
+            now.saturating_duration_since(conn.idle_since) < idle_limit(conn, false)
         });
     }
 
@@ -398,7 +407,7 @@
     }
 }
 
-fn idle_limit(conn: &Conn, run_once: bool) -> Duration {
+fn idle_limit(conn: &EndpointConn, run_once: bool) -> Duration {
     let availability =
         conn.keep_alive.map(|keep_alive| keep_alive.mul_f64(IDLE_FRACTION));
     let limit = availability.unwrap_or(DEFAULT_IDLE_LIMIT);
--- a/crates/larkspring/src/direct/entry/permits.rs
+++ b/crates/larkspring/src/direct/entry/permits.rs
@@ -4,7 +4,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use larkspring_core::fleet::permits::{self, run_hash, Ask, Home, Verdict, UNUSED};
+use larkspring_core::fleet::permits::{
+    self, run_hash, IssuerRole, PermitQuery, PermitResponse, PERMIT_LIFETIME,
+};
 use parking_lot::Mutex;
 
 use super::fleet::Fleet;
@@ -19,7 +21,7 @@
     /// Agents that did not reply, with the time until which they get no requests.
     skipped: Mutex<Vec<(String, Instant)>>,
     /// Issues permits for a part of each rate while no agent is known.
-    self_issuer: Mutex<permits::Permits>,
+    self_issuer: Mutex<permits::PermitIssuer>,
 }
 
 /// A permit to send one request to a run.
@@ -55,43 +57,55 @@
         let now = Instant::now();
         let Some(limit) = peer.rate_limit() else { return PermitOutcome::Unlimited };
         let Some(rate) = limit.in_force(now) else { return PermitOutcome::Unlimited };
-        let ask = Ask {
+        let ask = PermitQuery {
             run: run_hash(&peer.endpoint().id),
             rate,
-            age: now.saturating_duration_since(limit.told_at()),
-            home: Home::First,
+            age: now.saturating_duration_since(limit.updated_at()),
+            issuer: IssuerRole::Primary,
         };
         let verdict = self.request_verdict(peer, ask).await;
-        self.stats.permit(match verdict {
-            Some(Verdict::Granted) => "granted",
-            Some(Verdict::Denied(_)) => "denied",
+        self.stats.count_permit(match verdict {
+            Some(PermitResponse::Granted) => "granted",
+            Some(PermitResponse::Denied(_)) => "denied",
             None => "unanswered",
         });
         match verdict {
-            Some(Verdict::Granted) => PermitOutcome::Granted(Permit::new()),
-            Some(Verdict::Denied(wait)) => PermitOutcome::Denied(wait),
+            Some(PermitResponse::Granted) => PermitOutcome::Granted(Permit::new()),
+            Some(PermitResponse::Denied(wait)) => PermitOutcome::Denied(wait),
             None => PermitOutcome::Denied(NO_ISSUER_PAUSE),
         }
     }
 
     /// Requests a permit from the primary issuer of a run, then from the secondary if the
     /// primary does not reply. Issues the permit itself if no agent is known.
-    async fn request_verdict(&self, peer: &Peer, ask: Ask) -> Option<Verdict> {
+    async fn request_verdict(
+        &self,
+        peer: &Peer,
+        ask: PermitQuery,
+    ) -> Option<PermitResponse> {
         let beside = peer.link.clone();
         let first = beside.or_else(|| self.fleet.ranked_link(ask.run, None));
         let Some(first) = first else {
-            let ask = Ask { home: Home::Alone, ..ask };
-            return Some(self.self_issuer.lock().ask(Instant::now(), &ask));
+            let ask = PermitQuery { issuer: IssuerRole::SelfIssued, ..ask };
+            return Some(self.self_issuer.lock().request(Instant::now(), &ask));
         };
         if let Some(verdict) = self.request_from_agent(&first, &ask).await {
             return Some(verdict);
         }
         let second = self.fleet.ranked_link(ask.run, Some(&first))?;
-        self.request_from_agent(&second, &Ask { home: Home::Second, ..ask }).await
+        self.request_from_agent(
+            &second,
+            &PermitQuery { issuer: IssuerRole::Secondary, ..ask },
+        )
+        .await
     }
 
     /// Requests a permit from an agent, unless the agent recently failed to reply.
-    async fn request_from_agent(&self, link: &Link, ask: &Ask) -> Option<Verdict> {
+    async fn request_from_agent(
+        &self,
+        link: &Link,
+        ask: &PermitQuery,
+    ) -> Option<PermitResponse> {
         if self.is_skipped(link.addr()) {
             return None;
         }
@@ -113,7 +127,7 @@
 
 impl Permit {
     fn new() -> Self {
-        Self { until: Instant::now() + UNUSED }
+        Self { until: Instant::now() + PERMIT_LIFETIME }
     }
 
     /// Returns whether the permit has not expired.
--- a/crates/larkspring/src/direct/entry/place.rs
+++ b/crates/larkspring/src/direct/entry/place.rs
@@ -5,28 +5,29 @@
 
 use futures_lite::future;
 use larkspring_core::fleet::choose::{
-    batch_cost, for_adapter, for_any, ranked, Holding, Placement, View,
+    batch_cost, choose_any, choose_for_adapter, rank_endpoints, AdapterLocation,
+    EndpointView, PlacementPolicy,
 };
 use larkspring_core::fleet::mechanisms::Mechanism;
-use larkspring_core::fleet::reading::reading_time;
-use larkspring_core::fleet::routes::Engine;
+use larkspring_core::fleet::reading::prefill_time;
+use larkspring_core::fleet::routes::EngineCapacity;
 use larkspring_core::fleet::worth;
 use larkspring_core::ids::{AdapterId, Incarnation, Target, VersionId};
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::answer::{retry_after_backoff, Reason};
+use super::answer::{retry_after_backoff, ErrorReason};
 use super::attempt::Selection;
-use super::job::Job;
+use super::job::RequestHandler;
 use super::link::{HoldEnd, HoldRequest};
 use super::peer::Peer;
 use super::permits::{Permit, PermitOutcome};
 use super::view::{holding_name, SelectionInputs};
 use crate::direct::edge::ModelRequest;
-use crate::direct::logs::{self, Line};
-use crate::exec::within;
+use crate::direct::logs::{self, LineKind};
+use crate::exec::with_timeout;
 
 /// The reason why no endpoint was selected, and when the caller may retry.
-pub(super) type NoSelection = (Reason, Option<Duration>);
+pub(super) type NoSelection = (ErrorReason, Option<Duration>);
 
 /// Assumed response time of a plain service without recorded answers; calls of the
 /// deployed services take about 30 ms.
@@ -46,10 +47,10 @@
 /// Limits the number of endpoints at which holds are requested, one after the other.
 const MAX_HOLD_REQUESTS: u32 = 3;
 
-impl Job {
+impl RequestHandler {
     /// Selects an endpoint and waits until the endpoint can take the request.
     ///
-    /// If no endpoint is available, waits for the duration of [`Job::max_wait`]. If all
+    /// If no endpoint is available, waits for the duration of [`RequestHandler::max_wait`]. If all
     /// are in backoff or have used up their rates, refuses the request at once unless the
     /// first becomes available within the latency objective.
     pub(super) async fn select_endpoint(&mut self) -> Result<Selection, NoSelection> {
@@ -63,28 +64,28 @@
             match &selection {
                 Ok(selection) => self.inputs = Some(selection.inputs.clone()),
                 // The next selection leaves out the endpoint whose rate is used up.
-                Err((Reason::RateUsedUp, _)) if denials < MAX_PERMIT_DENIALS => {
+                Err((ErrorReason::RateUsedUp, _)) if denials < MAX_PERMIT_DENIALS => {
                     denials += 1;
                     continue;
                 }
                 Err(_) => {}
             }
-            let Err((Reason::NoEndpoint, _)) = selection else { return selection };
+            let Err((ErrorReason::NoEndpoint, _)) = selection else { return selection };
             if let Some(available_in) =
                 self.entry.fleet.next_available_in(&self.service.name)
             {
                 if available_in > self.max_backoff_wait() {
                     return Err((
-                        Reason::InBackoff,
+                        ErrorReason::InBackoff,
                         Some(retry_after_backoff(available_in)),
                     ));
                 }
                 // Waits for the end of the backoff or for a change of the fleet.
-                within(available_in, change).await;
+                with_timeout(available_in, change).await;
                 continue;
             }
             let timeout = self.max_wait();
-            if timeout.is_zero() || within(timeout, change).await.is_none() {
+            if timeout.is_zero() || with_timeout(timeout, change).await.is_none() {
                 return selection;
             }
         }
@@ -108,7 +109,7 @@
             PermitOutcome::Granted(permit) => Ok(Some(permit)),
             PermitOutcome::Denied(wait) => {
                 peer.set_rate_used_up(wait);
-                Err((Reason::RateUsedUp, Some(retry_after_backoff(wait))))
+                Err((ErrorReason::RateUsedUp, Some(retry_after_backoff(wait))))
             }
         }
     }
@@ -124,7 +125,7 @@
 
     async fn try_select(&mut self) -> Result<Selection, NoSelection> {
         if self.time_left() < MIN_TIME_LEFT {
-            return Err((Reason::TimedOutNotRun, None));
+            return Err((ErrorReason::TimedOutNotRun, None));
         }
         let model = self.caller.model.clone();
         let engine = self.service.engine.clone();
@@ -141,12 +142,14 @@
         let peers = self.candidates();
         let now = Instant::now();
         let views: Vec<_> = peers.iter().map(|p| self.plain_view(now, p)).collect();
-        let times = peers.iter().map(|p| p.quality(|q| q.time()));
+        let times = peers.iter().map(|p| p.quality(|q| q.mean_response_time()));
         let time = times.max().filter(|t| !t.is_zero()).unwrap_or(DEFAULT_RESPONSE_TIME);
         let chosen = match self.entry.cfg().placement {
-            Placement::Random => choose_random(&views),
-            Placement::Least => least_running(&views),
-            Placement::Cost | Placement::Home => for_any(&views, time),
+            PlacementPolicy::Random => choose_random(&views),
+            PlacementPolicy::FewestRequests => least_running(&views),
+            PlacementPolicy::LeastCost | PlacementPolicy::HomeEndpoint => {
+                choose_any(&views, time)
+            }
         };
         self.selection(&peers, &views, chosen)
     }
@@ -156,13 +159,13 @@
     fn select_for_base(
         &self,
         model: &ModelRequest,
-        engine: &Engine,
+        engine: &EngineCapacity,
     ) -> Result<Selection, NoSelection> {
         let base = xxh3_64(model.base.as_bytes());
         let now = Instant::now();
         let view = |p: &Arc<Peer>| {
             let mut view = self.engine_view(now, p, base, model, engine);
-            view.quality += Duration::from_secs_f64(batch_cost(&view) / 1000.0);
+            view.failure_cost += Duration::from_secs_f64(batch_cost(&view) / 1000.0);
             view
         };
         let viewed = self.candidates().into_iter().map(|p| (view(&p), p));
@@ -172,9 +175,9 @@
             p.link.as_ref().is_some_and(|link| link.is_first_message_pending())
         };
         let (views, peers): (Vec<_>, Vec<_>) = viewed
-            .filter(|(view, p)| !view.filling && !is_first_message_pending(p))
+            .filter(|(view, p)| !view.loading_base && !is_first_message_pending(p))
             .unzip();
-        let chosen = for_any(&views, Duration::ZERO);
+        let chosen = choose_any(&views, Duration::ZERO);
         if let Some(at) = chosen {
             peers[at].record_prompt(base, model);
         }
@@ -185,9 +188,9 @@
         &mut self,
         model: &ModelRequest,
         adapter: &AdapterId,
-        engine: &Engine,
+        engine: &EngineCapacity,
     ) -> Result<Selection, NoSelection> {
-        let mut last: NoSelection = (Reason::NoEndpoint, None);
+        let mut last: NoSelection = (ErrorReason::NoEndpoint, None);
         let mut excluded = Vec::new();
         let mut holds = 0;
         while holds < MAX_HOLD_REQUESTS {
@@ -238,7 +241,7 @@
         let requested_at = Instant::now();
         let limit = self.time_left().saturating_sub(MIN_TIME_LEFT);
         let held_before = link.holding(hash);
-        let resident = held_before == Some(Holding::Resident);
+        let resident = held_before == Some(AdapterLocation::Resident);
         let timeout = if resident { limit.min(GRANT_TIMEOUT) } else { limit };
         let request = HoldRequest {
             priority: self.priority(),
@@ -254,7 +257,8 @@
             fleet.wait_unavailable(&peer).await;
             HoldEnd::Lost
         };
-        let end = within(timeout, future::or(unavailable, hold.wait_granted())).await;
+        let end =
+            with_timeout(timeout, future::or(unavailable, hold.wait_granted())).await;
         let took = requested_at.elapsed();
         self.waited += took;
         // The engine may have restarted meanwhile; the grant then applies to its new run.
@@ -272,8 +276,8 @@
         let peer = current_peer;
         let (label, reason) = match end {
             Some(HoldEnd::Granted { copy_pays }) => {
-                self.entry.stats.hold("granted");
-                self.entry.stats.adapter_wait(holding_name(held_before), took);
+                self.entry.stats.count_hold("granted");
+                self.entry.stats.observe_adapter_wait(holding_name(held_before), took);
                 if copy_pays {
                     self.preload_in_hall(&target, model);
                 }
@@ -281,14 +285,14 @@
                 return Ok(selection(open, Some(hold)));
             }
             Some(HoldEnd::Refused { reason, retry_after }) => {
-                self.entry.stats.hold("refused");
+                self.entry.stats.count_hold("refused");
                 self.log_not_held(&peer, &reason, took);
-                return Err(Some((Reason::NoAdapterInTime, Some(retry_after))));
+                return Err(Some((ErrorReason::NoAdapterInTime, Some(retry_after))));
             }
             Some(HoldEnd::Lost) => ("lost", "the agent is silent"),
             None => ("late", "the agent did not grant the hold in time"),
         };
-        self.entry.stats.hold(label);
+        self.entry.stats.count_hold(label);
         self.log_not_held(&peer, reason, took);
         if !resident {
             return Err(None);
@@ -301,7 +305,7 @@
 
     /// Returns the utility of an answer in time, relative to other requests.
     fn utility(&self, model: &ModelRequest) -> f64 {
-        match self.entry.cfg().without.uses(Mechanism::WorthBySize) {
+        match self.entry.cfg().disabled_mechanisms.is_enabled(Mechanism::UtilityBySize) {
             true => worth::of_prompt(model.prompt_tokens),
             false => worth::of_prompt(0),
         }
@@ -311,12 +315,12 @@
     /// objective.
     fn load_time_limit(&self, inputs: &SelectionInputs) -> Duration {
         let unread = inputs.backlog_tokens + inputs.unread_tokens;
-        self.time_to_objective().saturating_sub(reading_time(unread))
+        self.time_to_objective().saturating_sub(prefill_time(unread))
     }
 
     /// Returns the time left until the latency objective is missed.
     fn time_to_objective(&self) -> Duration {
-        self.route.objective.saturating_sub(self.received.elapsed())
+        self.route.first_byte_objective.saturating_sub(self.received.elapsed())
     }
 
     /// Selects an endpoint and the version of the adapter to run there.
@@ -324,7 +328,7 @@
         &self,
         model: &ModelRequest,
         adapter: &AdapterId,
-        engine: &Engine,
+        engine: &EngineCapacity,
         excluded: &[Incarnation],
     ) -> Option<AdapterSelection> {
         let now = Instant::now();
@@ -334,19 +338,21 @@
         let hash = target.hash();
         let mut peers = self.candidates();
         peers.retain(|p| !excluded.contains(&p.endpoint().id));
-        let peers =
-            ranked(hash, peers.into_iter().map(|p| (p.endpoint(), p)).collect(), |e| {
-                &e.0.id
-            });
+        let peers = rank_endpoints(
+            hash,
+            peers.into_iter().map(|p| (p.endpoint(), p)).collect(),
+            |e| &e.0.id,
+        );
         let peers: Vec<_> = peers.into_iter().map(|(_, p)| p).collect();
         let views: Vec<_> =
             peers.iter().map(|p| self.engine_view(now, p, hash, model, engine)).collect();
-        let resident = views.iter().any(|v| v.holding == Holding::Resident);
+        let resident =
+            views.iter().any(|v| v.adapter_location == AdapterLocation::Resident);
         if !resident {
             // A request that must not run twice can't be withdrawn, so it must not be
             // queued at an engine when use of the previous version ends.
-            let repeatable = self.route.class.may_run_again();
-            let old = versions.still_allowed(now, adapter).filter(|_| repeatable);
+            let repeatable = self.route.class.is_retryable();
+            let old = versions.previous_allowed(now, adapter).filter(|_| repeatable);
             if let Some(chosen) = old.and_then(|v| {
                 self.select_previous_version(&peers, adapter, v, model, engine)
             }) {
@@ -354,12 +360,12 @@
                 return Some(chosen);
             }
         }
-        let without = self.entry.cfg().without;
+        let without = self.entry.cfg().disabled_mechanisms;
         let at = match self.entry.cfg().placement {
-            Placement::Cost => for_adapter(&views, without)?,
-            Placement::Home => views.iter().position(|v| v.can_load)?,
-            Placement::Random => choose_random(&views)?,
-            Placement::Least => least_running(&views)?,
+            PlacementPolicy::LeastCost => choose_for_adapter(&views, without)?,
+            PlacementPolicy::HomeEndpoint => views.iter().position(|v| v.can_load)?,
+            PlacementPolicy::Random => choose_random(&views)?,
+            PlacementPolicy::FewestRequests => least_running(&views)?,
         };
         let needs_hold = views[at].can_load;
         let inputs = SelectionInputs::new(&peers[at], &views, at);
@@ -373,22 +379,22 @@
         adapter: &AdapterId,
         version: VersionId,
         model: &ModelRequest,
-        engine: &Engine,
+        engine: &EngineCapacity,
     ) -> Option<AdapterSelection> {
         let now = Instant::now();
         let target = Target { adapter: adapter.clone(), version };
         let hash = target.hash();
         let view = |p: &Arc<Peer>| self.engine_view(now, p, hash, model, engine);
-        let holds = |v: &View| v.holding == Holding::Resident;
+        let holds = |v: &EndpointView| v.adapter_location == AdapterLocation::Resident;
         let views: Vec<_> = peers.iter().map(view).collect();
         if !views.iter().any(holds) {
             return None;
         }
         let open: Vec<_> = views
             .iter()
-            .map(|v| if holds(v) { *v } else { View { can_load: false, ..*v } })
+            .map(|v| if holds(v) { *v } else { EndpointView { can_load: false, ..*v } })
             .collect();
-        let at = for_adapter(&open, self.entry.cfg().without)?;
+        let at = choose_for_adapter(&open, self.entry.cfg().disabled_mechanisms)?;
         let inputs = SelectionInputs::new(&peers[at], &views, at);
         Some(AdapterSelection {
             peer: peers[at].clone(),
@@ -399,8 +405,13 @@
     }
 
     /// Preloads an adapter at the endpoint that would be selected for its new version.
-    fn preload_ahead(&self, peers: &[Arc<Peer>], views: &[View], target: &Target) {
-        let at = for_adapter(views, self.entry.cfg().without);
+    fn preload_ahead(
+        &self,
+        peers: &[Arc<Peer>],
+        views: &[EndpointView],
+        target: &Target,
+    ) {
+        let at = choose_for_adapter(views, self.entry.cfg().disabled_mechanisms);
         self.preload(at.map(|at| &peers[at]), target);
     }
 
@@ -412,29 +423,37 @@
         let hall = &self.entry.cfg().process.hall;
         let mut peers = self.entry.fleet.available(&self.service.name);
         peers.retain(|p| p.endpoint().hall == *hall);
-        let peers =
-            ranked(hash, peers.into_iter().map(|p| (p.endpoint(), p)).collect(), |e| {
-                &e.0.id
-            });
+        let peers = rank_endpoints(
+            hash,
+            peers.into_iter().map(|p| (p.endpoint(), p)).collect(),
+            |e| &e.0.id,
+        );
         let peers: Vec<_> = peers.into_iter().map(|(_, p)| p).collect();
         let views: Vec<_> =
             peers.iter().map(|p| self.engine_view(now, p, hash, model, engine)).collect();
-        let held = |v: &View| matches!(v.holding, Holding::Resident | Holding::Loading);
+        let held = |v: &EndpointView| {
+            matches!(
+                v.adapter_location,
+                AdapterLocation::Resident | AdapterLocation::Loading
+            )
+        };
         if views.iter().any(held) {
             return;
         }
         // Preloads only where the load delays no request.
-        let fit = |v: &View| {
-            let is_free = v.free_places > 0 && v.loads_ahead == 0;
-            v.same_hall && v.can_load && !v.rated && is_free
+        let fit = |v: &EndpointView| {
+            let is_free = v.free_adapter_slots > 0 && v.loads_ahead == 0;
+            v.same_hall && v.can_load && !v.is_rate_limited && is_free
+        };
+        let copied = |v: &EndpointView| {
+            v.adapter_location == AdapterLocation::HostMemory && fit(v)
         };
-        let copied = |v: &View| v.holding == Holding::Copied && fit(v);
         let at = views.iter().position(copied).or_else(|| views.iter().position(fit));
         self.preload(at.map(|at| &peers[at]), target);
     }
 
     fn preload(&self, peer: Option<&Arc<Peer>>, target: &Target) {
-        if !self.entry.cfg().without.uses(Mechanism::CopyAhead) {
+        if !self.entry.cfg().disabled_mechanisms.is_enabled(Mechanism::LoadAhead) {
             return;
         }
         let link = peer.and_then(|p| p.link.clone());
@@ -446,15 +465,15 @@
             wait: PRELOAD_TIMEOUT,
             request_id: "",
             unread_tokens: 0,
-            utility: worth::OF_COPY,
+            utility: worth::LOAD_AHEAD_UTILITY,
             load_time_limit: PRELOAD_TIMEOUT,
         };
         let mut hold = link.request_hold(target.clone(), request);
         let stats = self.entry.stats.clone();
         crate::exec::spawn(async move {
-            let end = within(PRELOAD_TIMEOUT, hold.wait_granted()).await;
+            let end = with_timeout(PRELOAD_TIMEOUT, hold.wait_granted()).await;
             let granted = end.is_some_and(|end| end.is_granted());
-            stats.hold(if granted { "copied" } else { "not copied" });
+            stats.count_hold(if granted { "copied" } else { "not copied" });
         })
         .detach();
     }
@@ -471,18 +490,18 @@
     fn selection(
         &self,
         peers: &[Arc<Peer>],
-        views: &[View],
+        views: &[EndpointView],
         at: Option<usize>,
     ) -> Result<Selection, NoSelection> {
         let Some(at) = at else {
-            return Err((Reason::NoEndpoint, None));
+            return Err((ErrorReason::NoEndpoint, None));
         };
         let inputs = SelectionInputs::new(&peers[at], views, at);
         Ok(Selection::new(peers[at].open_request(), None, inputs, None))
     }
 
     fn log_not_held(&self, peer: &Peer, reason: &str, took: Duration) {
-        if logs::allows(Line::Attempt) {
+        if logs::is_allowed(LineKind::Attempt) {
             tracing::info!(
                 event = "adapter not held",
                 request = self.caller.id,
@@ -503,11 +522,11 @@
     inputs: SelectionInputs,
 }
 
-fn choose_random(views: &[View]) -> Option<usize> {
+fn choose_random(views: &[EndpointView]) -> Option<usize> {
     let usable: Vec<_> = (0..views.len()).filter(|at| !views[*at].avoided).collect();
     fastrand::choice(usable)
 }
 
-fn least_running(views: &[View]) -> Option<usize> {
+fn least_running(views: &[EndpointView]) -> Option<usize> {
     (0..views.len()).min_by_key(|at| (views[*at].avoided, views[*at].running))
 }
