--- a/crates/larkspring/src/direct/entry/relay.rs
+++ b/crates/larkspring/src/direct/entry/relay.rs
@@ -12,7 +12,7 @@
 
 use bytes::Bytes;
 use hyper::body::{Body, SizeHint};
-use larkspring_core::fleet::attempt::{AttemptEnd, Next};
+use larkspring_core::fleet::attempt::{AttemptStatus, NextStep};
 use larkspring_core::fleet::routes::Route;
 use larkspring_core::ids::{ContentHash, Incarnation};
 use smol::Timer;
@@ -21,15 +21,15 @@
 use super::attempt::OpenAnswer;
 use super::ends::CrashDetector;
 use super::events::EventSplitter;
-use super::job::Job;
-use super::Inner;
-use crate::direct::conn::cause_of;
-use crate::direct::logs::{self, Line};
+use super::job::RequestHandler;
+use super::EntryState;
+use crate::direct::conn::error_with_source;
+use crate::direct::logs::{self, LineKind};
 
 /// An answer that is being relayed.
 pub(super) struct Relay {
     /// The request, kept if the stream may be resumed at another endpoint.
-    job: Option<Box<Job>>,
+    job: Option<Box<RequestHandler>>,
     crashes: Arc<CrashDetector>,
     id: String,
     fingerprint: ContentHash,
@@ -46,7 +46,7 @@
 
 /// The longest pause between two chunks for the caller, recorded when the answer is over.
 struct LongestPause {
-    entry: Arc<Inner>,
+    entry: Arc<EntryState>,
     route: Arc<Route>,
     last: Instant,
     longest: Duration,
@@ -60,11 +60,17 @@
     Ended,
 }
 
-type Resume = Pin<Box<dyn Future<Output = Option<(Box<Job>, OpenAnswer)>> + Send>>;
+type Resume =
+    Pin<Box<dyn Future<Output = Option<(Box<RequestHandler>, OpenAnswer)>> + Send>>;
 
 impl Relay {
     /// Creates the relay of an answer; a resumable stream is relayed in whole events.
-    pub fn new(job: Job, open: OpenAnswer, resumable: bool, is_success: bool) -> Self {
+    pub fn new(
+        job: RequestHandler,
+        open: OpenAnswer,
+        resumable: bool,
+        is_success: bool,
+    ) -> Self {
         let events =
             resumable.then(|| EventSplitter::resuming_after(job.resume_after.clone()));
         Self {
@@ -148,7 +154,7 @@
                 }),
                 Err(_) => Step::Continue,
             },
-            Some(Err(e)) => self.handle_interruption(&cause_of(&e)),
+            Some(Err(e)) => self.handle_interruption(&error_with_source(&e)),
             None => self.handle_end(cx),
         })
     }
@@ -195,16 +201,16 @@
         drop(open);
         events.discard_partial();
         job.resume_after = events.last_event_id.clone();
-        peer.quality(|q| q.bad(Instant::now()));
-        if job.record_attempt(AttemptEnd::Unclear, &peer) != Next::Elsewhere {
+        peer.quality(|q| q.record_failure(Instant::now()));
+        if job.record_attempt(AttemptStatus::Unknown, &peer) != NextStep::RetryElsewhere {
             return Step::Interrupted(cause.into());
         }
-        if logs::allows(Line::Attempt) {
+        if logs::is_allowed(LineKind::Attempt) {
             let last = job.resume_after.as_deref();
             tracing::info!(
                 event = "stream resumed",
                 request = self.id,
-                content = logs::hash(self.fingerprint),
+                content = logs::format_hash(self.fingerprint),
                 endpoint = %self.endpoint,
                 cause,
                 last,
@@ -214,7 +220,10 @@
         Step::Continue
     }
 
-    fn resume_with(&mut self, resumed: Option<(Box<Job>, OpenAnswer)>) -> Step {
+    fn resume_with(
+        &mut self,
+        resumed: Option<(Box<RequestHandler>, OpenAnswer)>,
+    ) -> Step {
         let Some((job, open)) = resumed else {
             return Step::Interrupted("no other endpoint resumed the stream".into());
         };
@@ -225,12 +234,12 @@
     }
 
     fn log(&self, cause: &str) {
-        if logs::allows(Line::Unserved) {
+        if logs::is_allowed(LineKind::Failed) {
             let sent = self.sent;
             tracing::warn!(
                 event = "answer broke off",
                 request = self.id,
-                content = logs::hash(self.fingerprint),
+                content = logs::format_hash(self.fingerprint),
                 endpoint = %self.endpoint,
                 cause,
                 sent,
@@ -240,7 +249,7 @@
 }
 
 impl LongestPause {
-    fn new(job: &Job) -> Self {
+    fn new(job: &RequestHandler) -> Self {
         let (entry, route) = (job.entry.clone(), job.route.clone());
         Self { entry, route, last: Instant::now(), longest: Duration::ZERO }
     }
@@ -254,7 +263,7 @@
 
 impl Drop for LongestPause {
     fn drop(&mut self) {
-        self.entry.stats.pause(&self.route.name, self.longest);
+        self.entry.stats.observe_pause(&self.route.name, self.longest);
     }
 }
 
@@ -266,7 +275,9 @@
 }
 
 /// Resumes a stream at another endpoint.
-async fn resume(mut job: Box<Job>) -> Option<(Box<Job>, OpenAnswer)> {
+async fn resume(
+    mut job: Box<RequestHandler>,
+) -> Option<(Box<RequestHandler>, OpenAnswer)> {
     let answered = job.run_attempts().await.ok()?;
     if !answered.head.status.is_success() {
         return None;
--- a/crates/larkspring/src/direct/entry/serve.rs
+++ b/crates/larkspring/src/direct/entry/serve.rs
@@ -16,7 +16,7 @@
 use hyper::body::Incoming;
 use hyper::server::conn::http1::{Builder, Connection};
 use hyper::service::{service_fn, HttpService};
-use larkspring_core::fleet::routes::CallerBounds;
+use larkspring_core::fleet::routes::RequestLimits;
 use parking_lot::Mutex;
 use smol::net::{TcpListener, TcpStream};
 use smol::Timer;
@@ -24,8 +24,8 @@
 
 use super::answer::AnswerBody;
 use super::job;
-use super::{Inner, Shutdown};
-use crate::direct::logs::{self, Line};
+use super::{EntryState, Shutdown};
+use crate::direct::logs::{self, LineKind};
 use crate::exec;
 
 /// Pause after a failed accept, for example when file descriptors run out.
@@ -38,7 +38,7 @@
     content-length: 0\r\nconnection: close\r\n\r\n";
 
 /// Accepts connections until shutdown reaches the closing stage.
-pub(super) async fn accept(listener: TcpListener, entry: Arc<Inner>) {
+pub(super) async fn accept(listener: TcpListener, entry: Arc<EntryState>) {
     let closing = async {
         entry.shutdown.wait_closing().await;
         None
@@ -51,7 +51,7 @@
             Some(Ok((sock, _))) => {
                 let open = entry.shutdown.connections.load(Ordering::Acquire);
                 if open >= entry.cfg().max_connections {
-                    if logs::allows(Line::Caller) {
+                    if logs::is_allowed(LineKind::Caller) {
                         tracing::warn!(event = "connection refused", open);
                     }
                     continue;
@@ -84,7 +84,7 @@
     Closing,
 }
 
-async fn serve(sock: TcpStream, entry: Arc<Inner>) {
+async fn serve(sock: TcpStream, entry: Arc<EntryState>) {
     let _counted = ConnectionCount::new(&entry);
     let _ = sock.set_nodelay(true);
     let phase = Arc::new(Phase::new());
@@ -113,7 +113,7 @@
     match ended {
         Err(Ok(())) => {}
         Err(Err(e)) => {
-            if logs::allows(Line::Caller) {
+            if logs::is_allowed(LineKind::Caller) {
                 tracing::info!(event = "connection broke", cause = %e);
             }
         }
@@ -134,14 +134,15 @@
     S::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
     let mut io = conn.into_parts().io.into_inner();
-    let _ = exec::within(SLOW_HEAD_TIMEOUT, io.sock.write_all(SLOW_HEAD_RESPONSE)).await;
-    if logs::allows(Line::Caller) {
+    let _ = exec::with_timeout(SLOW_HEAD_TIMEOUT, io.sock.write_all(SLOW_HEAD_RESPONSE))
+        .await;
+    if logs::is_allowed(LineKind::Caller) {
         tracing::info!(event = "head too slow");
     }
 }
 
 /// Waits until a time-out or shutdown ends the connection.
-async fn watch(entry: &Inner, phase: &Phase) -> ConnectionEnd {
+async fn watch(entry: &EntryState, phase: &Phase) -> ConnectionEnd {
     let closing = async {
         entry.shutdown.wait_closing().await;
         ConnectionEnd::Closing
@@ -170,7 +171,7 @@
     future::or(closing, bounded).await
 }
 
-fn bounds(entry: &Inner) -> CallerBounds {
+fn bounds(entry: &EntryState) -> RequestLimits {
     entry.beliefs.routing().map(|r| r.bounds).unwrap_or_default()
 }
 
@@ -199,10 +200,10 @@
 }
 
 /// Counts a connection while it is open.
-struct ConnectionCount(Arc<Inner>);
+struct ConnectionCount(Arc<EntryState>);
 
 impl ConnectionCount {
-    fn new(entry: &Arc<Inner>) -> Self {
+    fn new(entry: &Arc<EntryState>) -> Self {
         entry.shutdown.connections.fetch_add(1, Ordering::AcqRel);
         Self(entry.clone())
     }
--- a/crates/larkspring/src/direct/entry/view.rs
+++ b/crates/larkspring/src/direct/entry/view.rs
@@ -3,40 +3,40 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use larkspring_core::fleet::choose::{Holding, View};
+use larkspring_core::fleet::choose::{AdapterLocation, EndpointView};
 use larkspring_core::fleet::mechanisms::Mechanism;
-use larkspring_core::fleet::routes::Engine;
+use larkspring_core::fleet::routes::EngineCapacity;
 use larkspring_core::ids::{Incarnation, TargetHash};
 use larkspring_proto::residency::Engagement;
 
-use super::job::Job;
+use super::job::RequestHandler;
 use super::peer::Peer;
 use crate::direct::edge::ModelRequest;
 
-impl Job {
+impl RequestHandler {
     /// Returns the view of an endpoint of a plain service.
-    pub(super) fn plain_view(&self, now: Instant, peer: &Arc<Peer>) -> View {
+    pub(super) fn plain_view(&self, now: Instant, peer: &Arc<Peer>) -> EndpointView {
         let endpoint = peer.endpoint();
-        let without = self.entry.cfg().without;
+        let without = self.entry.cfg().disabled_mechanisms;
         let quality = peer.quality(|q| q.cost(now));
-        View {
+        EndpointView {
             same_hall: endpoint.hall == self.entry.cfg().process.hall,
-            holding: Holding::Resident,
+            adapter_location: AdapterLocation::Resident,
             running: peer.open_requests(),
-            slots: endpoint.slots as u32,
-            free_places: 0,
+            max_concurrent: endpoint.slots as u32,
+            free_adapter_slots: 0,
             loads_ahead: 0,
             can_load: false,
-            filling: false,
-            prompt_tokens: 0,
-            reading: peer.prefill_tokens(),
-            quality: if without.uses(Mechanism::Quality) {
+            loading_base: false,
+            uncached_prompt_tokens: 0,
+            prefill_backlog_tokens: peer.prefill_tokens(),
+            failure_cost: if without.is_enabled(Mechanism::Quality) {
                 quality
             } else {
                 Duration::ZERO
             },
-            avoided: peer.quality(|q| q.avoided(now)),
-            rated: peer.has_certain_rate_limit(),
+            avoided: peer.quality(|q| q.is_avoided(now)),
+            is_rate_limited: peer.has_certain_rate_limit(),
         }
     }
 
@@ -47,33 +47,38 @@
         peer: &Arc<Peer>,
         target: TargetHash,
         model: &ModelRequest,
-        engine: &Engine,
-    ) -> View {
+        engine: &EngineCapacity,
+    ) -> EndpointView {
         let mut view = self.plain_view(now, peer);
-        view.slots = engine.slots as u32;
-        view.prompt_tokens = peer.unread_tokens(target, model);
+        view.max_concurrent = engine.batch_slots as u32;
+        view.uncached_prompt_tokens = peer.unread_tokens(target, model);
         let Some(link) = &peer.link else { return view };
         let known = link.view();
         let endpoint = peer.endpoint();
         view.running = view.running.max(known.running);
-        view.free_places = known.free_slots;
+        view.free_adapter_slots = known.free_slots;
         view.loads_ahead = known.loads_ahead;
-        let without = self.entry.cfg().without;
-        if without.uses(Mechanism::UnreadTold) {
-            view.reading = view.reading.max(known.unread_tokens);
+        let without = self.entry.cfg().disabled_mechanisms;
+        if without.is_enabled(Mechanism::BacklogReports) {
+            view.prefill_backlog_tokens =
+                view.prefill_backlog_tokens.max(known.unread_tokens);
         }
         let engaged = known.live.then_some(known.engagement);
-        view.filling = engaged == Some(Engagement::Filling);
-        view.can_load = view.filling || engaged == Some(Engagement::Serving);
+        view.loading_base = engaged == Some(Engagement::Filling);
+        view.can_load = view.loading_base || engaged == Some(Engagement::Serving);
         view.avoided |= engaged == Some(Engagement::Away);
         let listed = || match endpoint.holds.iter().any(|t| t.hash() == target) {
-            true => Holding::Resident,
-            false => Holding::Absent,
+            true => AdapterLocation::Resident,
+            false => AdapterLocation::WeightStore,
         };
-        view.holding = match link.holding(target) {
-            Some(Holding::Copied) if !without.uses(Mechanism::Copies) => Holding::Absent,
+        view.adapter_location = match link.holding(target) {
+            Some(AdapterLocation::HostMemory)
+                if !without.is_enabled(Mechanism::HostCopies) =>
+            {
+                AdapterLocation::WeightStore
+            }
             Some(holding) => holding,
-            None if link.is_first_message_pending() => Holding::Absent,
+            None if link.is_first_message_pending() => AdapterLocation::WeightStore,
             None => listed(),
         };
         view
@@ -111,19 +116,22 @@
 
 impl SelectionInputs {
     /// Records the inputs of the selection of `views[at]`.
-    pub fn new(peer: &Peer, views: &[View], at: usize) -> Self {
+    pub fn new(peer: &Peer, views: &[EndpointView], at: usize) -> Self {
         let view = &views[at];
         Self {
             endpoint: peer.endpoint().id.clone(),
             same_hall: view.same_hall,
-            holding: holding_name(Some(view.holding)),
+            holding: holding_name(Some(view.adapter_location)),
             running: view.running,
             loads_ahead: view.loads_ahead,
-            unread_tokens: view.prompt_tokens,
-            backlog_tokens: view.reading,
-            free_slots: view.free_places,
-            holders: views.iter().filter(|v| v.holding == Holding::Resident).count(),
-            quality: view.quality,
+            unread_tokens: view.uncached_prompt_tokens,
+            backlog_tokens: view.prefill_backlog_tokens,
+            free_slots: view.free_adapter_slots,
+            holders: views
+                .iter()
+                .filter(|v| v.adapter_location == AdapterLocation::Resident)
+                .count(),
+            quality: view.failure_cost,
             candidates: views.len(),
             avoided: views.iter().filter(|v| v.avoided).count(),
         }
@@ -131,11 +139,11 @@
 }
 
 /// Returns the name of a holding in logs and metrics.
-pub(super) fn holding_name(holding: Option<Holding>) -> &'static str {
+pub(super) fn holding_name(holding: Option<AdapterLocation>) -> &'static str {
     match holding {
-        Some(Holding::Resident) => "resident",
-        Some(Holding::Loading) => "loading",
-        Some(Holding::Copied) => "copied",
-        Some(Holding::Absent) | None => "absent",
+        Some(AdapterLocation::Resident) => "resident",
+        Some(AdapterLocation::Loading) => "loading",
+        Some(AdapterLocation::HostMemory) => "copied",
+        Some(AdapterLocation::WeightStore) | None => "absent",
     }
 }
--- a/crates/larkspring/src/direct/limits.rs
+++ b/crates/larkspring/src/direct/limits.rs
@@ -2,19 +2,19 @@
 
 use std::time::Duration;
 
-use larkspring_core::limits::home::{Grant, Want};
+use larkspring_core::limits::home::{Grant, RequestedUnits};
 use larkspring_proto::residency as wire;
 
 /// Encodes a request for units; needed units are rounded up.
-pub(super) fn write_want(want: &Want) -> wire::Want {
+pub(super) fn encode_unit_request(want: &RequestedUnits) -> wire::Want {
     wire::Want {
         workspace: want.workspace,
-        ask: want.ask,
-        debt: want.debt.ceil() as u64,
-        returned: want.returned as u64,
-        need: want.need.ceil() as u64,
-        first: want.first.ceil() as u64,
-        ahead: want.ahead.ceil() as u64,
+        ask: want.sequence,
+        debt: want.overdraft.ceil() as u64,
+        returned: want.expired as u64,
+        need: want.waiting.ceil() as u64,
+        first: want.first_waiting.ceil() as u64,
+        ahead: want.reserve_ahead.ceil() as u64,
         per_sec: want.per_sec as u64,
         burst: want.burst as u64,
         routing_version: want.version,
@@ -22,25 +22,25 @@
 }
 
 /// Decodes a grant.
-pub(super) fn read_grant(grant: &wire::Grant) -> Grant {
+pub(super) fn decode_grant(grant: &wire::Grant) -> Grant {
     Grant {
         workspace: grant.workspace,
-        ask: grant.ask,
+        sequence: grant.ask,
         units: grant.units as f64,
         wait: Duration::from_millis(grant.wait_ms),
     }
 }
 
 /// Decodes a request for units.
-pub(super) fn read_want(want: &wire::Want) -> Want {
-    Want {
+pub(super) fn decode_unit_request(want: &wire::Want) -> RequestedUnits {
+    RequestedUnits {
         workspace: want.workspace,
-        ask: want.ask,
-        debt: want.debt as f64,
-        returned: want.returned as f64,
-        need: want.need as f64,
-        first: want.first as f64,
-        ahead: want.ahead as f64,
+        sequence: want.ask,
+        overdraft: want.debt as f64,
+        expired: want.returned as f64,
+        waiting: want.need as f64,
+        first_waiting: want.first as f64,
+        reserve_ahead: want.ahead as f64,
         per_sec: want.per_sec as f64,
         burst: want.burst as f64,
         version: want.routing_version,
@@ -49,10 +49,10 @@
 
 /// Encodes a grant; units are rounded down, so that no entry gets more than was taken
 /// from the bucket.
-pub(super) fn write_grant(grant: &Grant) -> wire::Grant {
+pub(super) fn encode_grant(grant: &Grant) -> wire::Grant {
     wire::Grant {
         workspace: grant.workspace,
-        ask: grant.ask,
+        ask: grant.sequence,
         units: grant.units as u64,
         wait_ms: (grant.wait.as_secs_f64() * 1000.0).ceil() as u64,
     }
--- a/crates/larkspring/src/direct/logs.rs
+++ b/crates/larkspring/src/direct/logs.rs
@@ -12,32 +12,32 @@
 
 /// Kinds of lines whose number grows with the load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Line {
+pub(crate) enum LineKind {
     /// A request was served.
     Served,
     /// A request was refused, or ended without a complete answer.
-    Unserved,
+    Failed,
     /// An attempt ended without an answer that could be delivered.
     Attempt,
     /// An adapter was ordered to be loaded or unloaded.
     Order,
     /// The replicated state of the process changed.
-    Belief,
+    StateChange,
     /// A connection or request of a caller could not be read.
     Caller,
     /// A request was over its workspace's limit.
     Limit,
 }
 
-const KINDS: [(Line, &str, f64); 7] = [
+const KINDS: [(LineKind, &str, f64); 7] = [
     // Lines per second: a served request is one of hundreds, a failure has to be found.
-    (Line::Served, "served", 30.0),
-    (Line::Unserved, "unserved", 100.0),
-    (Line::Attempt, "attempt", 60.0),
-    (Line::Order, "order", 40.0),
-    (Line::Belief, "belief", 40.0),
-    (Line::Caller, "caller", 10.0),
-    (Line::Limit, "limit", 20.0),
+    (LineKind::Served, "served", 30.0),
+    (LineKind::Failed, "unserved", 100.0),
+    (LineKind::Attempt, "attempt", 60.0),
+    (LineKind::Order, "order", 40.0),
+    (LineKind::StateChange, "belief", 40.0),
+    (LineKind::Caller, "caller", 10.0),
+    (LineKind::Limit, "limit", 20.0),
 ];
 
 /// Seconds of its rate for which a kind of line may accumulate budget.
@@ -56,7 +56,7 @@
 
 /// Returns whether a line of a kind may be written now; if not, counts the line as left
 /// out.
-pub(crate) fn allows(line: Line) -> bool {
+pub(crate) fn is_allowed(line: LineKind) -> bool {
     let index = line as usize;
     let (_, _, rate) = KINDS[index];
     let now = Instant::now();
@@ -75,17 +75,17 @@
 }
 
 /// Returns the number of lines left out so far, by kind.
-pub(crate) fn left_out() -> impl Iterator<Item = (&'static str, u64)> {
+pub(crate) fn dropped_lines() -> impl Iterator<Item = (&'static str, u64)> {
     let counts = LEFT_OUT.iter().map(|n| n.load(Ordering::Relaxed));
     KINDS.iter().map(|(_, name, _)| *name).zip(counts)
 }
 
 /// Logs periodically how many lines were left out.
-pub(crate) async fn report_left_out() {
+pub(crate) async fn log_dropped_lines() {
     let mut before = [0; KINDS.len()];
     loop {
         Timer::after(LEFT_OUT_LOG_INTERVAL).await;
-        for (index, (kind, count)) in left_out().enumerate() {
+        for (index, (kind, count)) in dropped_lines().enumerate() {
             let more = count - before[index];
             before[index] = count;
             if more > 0 {
@@ -97,19 +97,19 @@
 
 /// Formats a hash as in all log lines, so that the lines of one request fingerprint can
 /// be found.
-pub(crate) fn hash(hash: u64) -> String {
+pub(crate) fn format_hash(hash: u64) -> String {
     format!("{hash:016x}")
 }
 
 /// Logs that a dependency was lost or regained.
-pub(crate) fn dependency(name: &str, regained: bool, cause: &str) {
+pub(crate) fn log_dependency(name: &str, regained: bool, cause: &str) {
     let event = if regained { "dependency regained" } else { "dependency lost" };
     tracing::warn!(event, name, cause);
 }
 
 /// Logs a change of the replicated state.
-pub(crate) fn belief(event: &'static str, at: StorePoint, count: usize) {
-    if allows(Line::Belief) {
+pub(crate) fn log_state_change(event: &'static str, at: StorePoint, count: usize) {
+    if is_allowed(LineKind::StateChange) {
         let (epoch, revision) = (at.epoch(), at.revision());
         tracing::info!(event, epoch, revision, count);
     }
--- a/crates/larkspring/src/direct/reader.rs
+++ b/crates/larkspring/src/direct/reader.rs
@@ -3,13 +3,15 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use larkspring_core::fleet::reads::StorePace;
+use larkspring_core::fleet::reads::StoreReadTiming;
 use parking_lot::Mutex;
 
-use super::edge::{Ask, Directory, Kind, Listed, Read, State};
-use super::logs::{self, Line};
+use super::edge::{
+    DecodedState, EncodedState, ReadOutcome, StateKind, StateQuery, StateStore,
+};
+use super::logs::{self, LineKind};
 use super::stats::Stats;
-use crate::exec::within;
+use crate::exec::with_timeout;
 use crate::platform::PlatformError;
 
 /// Reads the store; sends a list request after a watch that is not answered in time.
@@ -17,7 +19,7 @@
 /// A single connection may become unresponsive while others work, so a lost watch does
 /// not show that the store is unavailable.
 pub(super) struct StoreReader {
-    directory: Arc<dyn Directory>,
+    directory: Arc<dyn StateStore>,
     stats: Arc<Stats>,
     /// The slowest of the store's recent answer times, decayed.
     slowest: Mutex<Duration>,
@@ -33,19 +35,23 @@
 
 impl StoreReader {
     /// Creates a reader of a store.
-    pub fn new(directory: Arc<dyn Directory>, stats: Arc<Stats>) -> Self {
+    pub fn new(directory: Arc<dyn StateStore>, stats: Arc<Stats>) -> Self {
         Self { directory, stats, slowest: Mutex::default() }
     }
 
     /// Reads items of a kind.
-    pub async fn read(&self, ask: Ask, pace: &StorePace) -> Result<Read, PlatformError> {
-        let Some(after) = ask.after else { return self.list(ask.kind).await };
-        let limit = after.wait + self.answer_timeout(pace);
+    pub async fn read(
+        &self,
+        ask: StateQuery,
+        pace: &StoreReadTiming,
+    ) -> Result<ReadOutcome, PlatformError> {
+        let Some(after) = ask.changes else { return self.list(ask.kind).await };
+        let limit = after.max_wait + self.answer_timeout(pace);
         let began = Instant::now();
-        match within(limit, self.directory.read(ask)).await {
+        match with_timeout(limit, self.directory.fetch(ask)).await {
             Some(read) => {
                 if read.is_ok() {
-                    self.record_answer(began.elapsed().saturating_sub(after.wait));
+                    self.record_answer(began.elapsed().saturating_sub(after.max_wait));
                 }
                 read
             }
@@ -57,22 +63,26 @@
     }
 
     /// Decodes items that were read.
-    pub fn decode(&self, kind: Kind, state: &State) -> Result<Listed, PlatformError> {
+    pub fn decode(
+        &self,
+        kind: StateKind,
+        state: &EncodedState,
+    ) -> Result<DecodedState, PlatformError> {
         self.directory.decode(kind, state)
     }
 
-    async fn list(&self, kind: Kind) -> Result<Read, PlatformError> {
+    async fn list(&self, kind: StateKind) -> Result<ReadOutcome, PlatformError> {
         let began = Instant::now();
-        let read = self.directory.read(Ask { kind, after: None }).await;
+        let read = self.directory.fetch(StateQuery { kind, changes: None }).await;
         if read.is_ok() {
             self.record_answer(began.elapsed());
         }
         read
     }
 
-    fn answer_timeout(&self, pace: &StorePace) -> Duration {
+    fn answer_timeout(&self, pace: &StoreReadTiming) -> Duration {
         let slow = self.slowest.lock().mul_f64(LOST_AFTER_FACTOR);
-        pace.answer.max(slow).min(MAX_ANSWER_TIME)
+        pace.answer_timeout.max(slow).min(MAX_ANSWER_TIME)
     }
 
     fn record_answer(&self, took: Duration) {
@@ -80,10 +90,10 @@
         *slowest = took.max(slowest.mul_f64(SLOWEST_DECAY));
     }
 
-    fn record_lost_watch(&self, kind: Kind, after: Duration) {
+    fn record_lost_watch(&self, kind: StateKind, after: Duration) {
         let kind = kind.name();
-        self.stats.store_call(kind, false);
-        if logs::allows(Line::Belief) {
+        self.stats.count_store_call(kind, false);
+        if logs::is_allowed(LineKind::StateChange) {
             let after_ms = after.as_millis() as u64;
             tracing::info!(event = "watch lost", kind, after_ms);
         }
--- a/crates/larkspring/src/direct/side.rs
+++ b/crates/larkspring/src/direct/side.rs
@@ -17,7 +17,7 @@
 use crate::exec;
 
 /// Answers a path with a status and a body.
-pub(crate) type Answer = dyn Fn(&str) -> (StatusCode, Vec<u8>) + Send + Sync;
+pub(crate) type StatusHandler = dyn Fn(&str) -> (StatusCode, Vec<u8>) + Send + Sync;
 
 /// Time limit for a request's head; only the platform calls these servers.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
@@ -27,7 +27,7 @@
 /// Serves `answer` on an address in the background, as long as the task is kept.
 pub(crate) async fn serve(
     addr: SocketAddr,
-    answer: Arc<Answer>,
+    answer: Arc<StatusHandler>,
 ) -> std::io::Result<smol::Task<()>> {
     let listener = TcpListener::bind(addr).await?;
     Ok(exec::spawn(async move {
@@ -45,10 +45,10 @@
     }))
 }
 
-async fn serve_connection(sock: TcpStream, answer: Arc<Answer>) {
+async fn serve_connection(sock: TcpStream, answer: Arc<StatusHandler>) {
     let service = service_fn(move |req: Request<Incoming>| {
         let (status, body) = answer(req.uri().path());
-        let mut res = Response::new(Whole(Some(body.into())));
+        let mut res = Response::new(BufferedBody(Some(body.into())));
         *res.status_mut() = status;
         async move { Ok::<_, Infallible>(res) }
     });
@@ -62,9 +62,9 @@
 }
 
 /// A body that is held in memory as a whole.
-pub(crate) struct Whole(pub Option<Bytes>);
+pub(crate) struct BufferedBody(pub Option<Bytes>);
 
-impl Body for Whole {
+impl Body for BufferedBody {
     type Data = Bytes;
     type Error = Infallible;
 
--- a/crates/larkspring/src/direct/stats.rs
+++ b/crates/larkspring/src/direct/stats.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use larkspring_core::fleet::availability::Notice;
-use larkspring_core::fleet::rate::RateWord;
+use larkspring_core::fleet::rate::AdvertisedRate;
 use larkspring_core::ids::StorePoint;
 use prometheus::{
     Encoder, HistogramOpts, HistogramVec, IntCounterVec, IntGaugeVec, Opts, Registry,
@@ -11,15 +11,15 @@
 };
 
 use super::logs;
-use super::unknown::{Place, UnknownNames};
+use super::unknown::{NameSource, UnknownNames};
 
 /// The metrics of one process.
 #[derive(Debug)]
 pub struct Stats {
     registry: Registry,
     requests: IntCounterVec,
-    first_byte: HistogramVec,
-    pause: HistogramVec,
+    observe_first_byte: HistogramVec,
+    observe_pause: HistogramVec,
     wait: HistogramVec,
     attempts: IntCounterVec,
     connections: IntCounterVec,
@@ -29,16 +29,16 @@
     store_calls: IntCounterVec,
     agent_reads: IntCounterVec,
     workspaces: IntCounterVec,
-    reserved: IntGaugeVec,
+    set_reserved_units: IntGaugeVec,
     items_left_out: IntCounterVec,
-    quarantine: IntCounterVec,
+    count_quarantine: IntCounterVec,
     endpoint_checks: IntCounterVec,
     notices: IntCounterVec,
     unknown: UnknownNames,
     permits: IntCounterVec,
     rated_sends: IntCounterVec,
-    left_out: IntGaugeVec,
-    state: IntGaugeVec,
+    count_invalid_items: IntGaugeVec,
+    set_gauge: IntGaugeVec,
 }
 
 /// Bounds of latency buckets in seconds: around the objectives of 0.15 to 1 s.
@@ -74,12 +74,12 @@
                 "Requests by route and how they ended.",
                 &["route", "outcome"],
             ),
-            first_byte: histogram(
+            observe_first_byte: histogram(
                 "larkspring_first_byte_seconds",
                 "Time from a request's head to the head of its answer.",
                 &["route"],
             ),
-            pause: histogram(
+            observe_pause: histogram(
                 "larkspring_pause_seconds",
                 "Longest pause between parts of an answer.",
                 &["route"],
@@ -134,7 +134,7 @@
                 "Items of the platform's store that make no sense, each time they are read.",
                 &["kind"],
             ),
-            quarantine: counter(
+            count_quarantine: counter(
                 "larkspring_quarantine_total",
                 "Contents of requests by what endings of endpoints let think of them.",
                 &["standing"],
@@ -164,17 +164,17 @@
                 "Requests sent to endpoints that name a rate: first, again or going on.",
                 &["kind"],
             ),
-            reserved: gauge(
+            set_reserved_units: gauge(
                 "larkspring_workspace_reserved",
                 "Units that the entry holds in reserve for a workspace.",
                 &["workspace"],
             ),
-            left_out: gauge(
+            count_invalid_items: gauge(
                 "larkspring_log_lines_left_out",
                 "Log lines left out so far, by kind.",
                 &["kind"],
             ),
-            state: gauge(
+            set_gauge: gauge(
                 "larkspring_state",
                 "Present state, by what is counted.",
                 &["of"],
@@ -184,86 +184,86 @@
     }
 
     /// Counts a completed request.
-    pub fn request(&self, route: &str, outcome: &str) {
+    pub fn count_request(&self, route: &str, outcome: &str) {
         self.requests.with_label_values(&[route, outcome]).inc();
     }
 
     /// Records the time to the head of an answer.
-    pub fn first_byte(&self, route: &str, took: Duration) {
-        self.first_byte.with_label_values(&[route]).observe(took.as_secs_f64());
+    pub fn observe_first_byte(&self, route: &str, took: Duration) {
+        self.observe_first_byte.with_label_values(&[route]).observe(took.as_secs_f64());
     }
 
     /// Records the longest pause within an answer.
-    pub fn pause(&self, route: &str, longest: Duration) {
-        self.pause.with_label_values(&[route]).observe(longest.as_secs_f64());
+    pub fn observe_pause(&self, route: &str, longest: Duration) {
+        self.observe_pause.with_label_values(&[route]).observe(longest.as_secs_f64());
     }
 
     /// Records the time that a request waited for its adapter.
-    pub fn adapter_wait(&self, source: &str, took: Duration) {
+    pub fn observe_adapter_wait(&self, source: &str, took: Duration) {
         self.wait.with_label_values(&[source]).observe(took.as_secs_f64());
     }
 
     /// Counts an attempt at an endpoint.
-    pub fn attempt(&self, end: &str) {
+    pub fn count_attempt(&self, end: &str) {
         self.attempts.with_label_values(&[end]).inc();
     }
 
     /// Counts the use of a connection to an endpoint.
-    pub fn connection(&self, kind: &str) {
+    pub fn count_connection(&self, kind: &str) {
         self.connections.with_label_values(&[kind]).inc();
     }
 
     /// Counts a completed hold.
-    pub fn hold(&self, end: &str) {
+    pub fn count_hold(&self, end: &str) {
         self.holds.with_label_values(&[end]).inc();
     }
 
     /// Counts an order to the engine.
-    pub fn order(&self, order: &str, answer: &str) {
+    pub fn count_order(&self, order: &str, answer: &str) {
         self.orders.with_label_values(&[order, answer]).inc();
     }
 
     /// Counts a request for the engine's report.
-    pub fn report(&self, came: bool) {
+    pub fn count_report(&self, came: bool) {
         self.reports.with_label_values(&[outcome(came)]).inc();
     }
 
     /// Counts a call to the store.
-    pub fn store_call(&self, kind: &str, ok: bool) {
+    pub fn count_store_call(&self, kind: &str, ok: bool) {
         self.store_calls.with_label_values(&[kind, outcome(ok)]).inc();
     }
 
     /// Counts a read of the declared state that an agent answered.
-    pub fn agent_read(&self, kind: &str) {
+    pub fn count_agent_read(&self, kind: &str) {
         self.agent_reads.with_label_values(&[kind]).inc();
     }
 
     /// Counts a request of a workspace with a limit.
     ///
     /// Workspaces are declared by operators, so their number is bounded by the routing.
-    pub fn workspace(&self, workspace: &str, verdict: &str) {
+    pub fn count_workspace(&self, workspace: &str, verdict: &str) {
         self.workspaces.with_label_values(&[workspace, verdict]).inc();
     }
 
     /// Counts invalid items of the store that were left out.
-    pub fn left_out(&self, kind: &str, count: u64) {
+    pub fn count_invalid_items(&self, kind: &str, count: u64) {
         if count > 0 {
             self.items_left_out.with_label_values(&[kind]).inc_by(count);
         }
     }
 
     /// Counts a change of a fingerprint's quarantine status.
-    pub fn quarantine(&self, standing: &str) {
-        self.quarantine.with_label_values(&[standing]).inc();
+    pub fn count_quarantine(&self, standing: &str) {
+        self.count_quarantine.with_label_values(&[standing]).inc();
     }
 
     /// Counts a check whether an endpoint has ended.
-    pub fn look(&self, ended: bool) {
+    pub fn count_endpoint_check(&self, ended: bool) {
         self.endpoint_checks.with_label_values(&[if ended { "yes" } else { "no" }]).inc();
     }
 
     /// Counts the parts of an answer's notice.
-    pub fn notice(&self, notice: Notice) {
+    pub fn count_notice(&self, notice: Notice) {
         if notice.leaving {
             self.notices.with_label_values(&["leaving"]).inc();
         }
@@ -271,58 +271,58 @@
             self.notices.with_label_values(&["rest"]).inc();
         }
         match notice.rate {
-            RateWord::Named(_) => self.notices.with_label_values(&["rate"]).inc(),
-            RateWord::Unreadable | RateWord::Silent => {}
+            AdvertisedRate::Limit(_) => self.notices.with_label_values(&["rate"]).inc(),
+            AdvertisedRate::Invalid | AdvertisedRate::Missing => {}
         }
     }
 
     /// Counts unrecognised names.
-    pub(super) fn unknown_words<'a>(
+    pub(super) fn count_unknown_names<'a>(
         &self,
-        place: Place,
+        place: NameSource,
         names: impl IntoIterator<Item = &'a String>,
     ) {
         names.into_iter().for_each(|name| self.unknown.count(place, name));
     }
 
     /// Counts a request for a permit to send to a rate-limited endpoint.
-    pub fn permit(&self, end: &str) {
+    pub fn count_permit(&self, end: &str) {
         self.permits.with_label_values(&[end]).inc();
     }
 
     /// Counts a request that is sent to a rate-limited endpoint.
-    pub fn rated_send(&self, kind: &str) {
+    pub fn count_rated_send(&self, kind: &str) {
         self.rated_sends.with_label_values(&[kind]).inc();
     }
 
     /// Sets the units that the entry holds in reserve for a workspace.
-    pub fn reserved(&self, workspace: &str, units: i64) {
-        self.reserved.with_label_values(&[workspace]).set(units);
+    pub fn set_reserved_units(&self, workspace: &str, units: i64) {
+        self.set_reserved_units.with_label_values(&[workspace]).set(units);
     }
 
     /// Sets a gauge of the present state.
-    pub fn state(&self, of: &str, value: i64) {
-        self.state.with_label_values(&[of]).set(value);
+    pub fn set_gauge(&self, of: &str, value: i64) {
+        self.set_gauge.with_label_values(&[of]).set(value);
     }
 
     /// Sets the time since the store is proved to have held nothing newer of a kind; -1
     /// without a proof.
-    pub fn proof_age(&self, kind: &str, age: Option<Duration>) {
+    pub fn set_proof_age(&self, kind: &str, age: Option<Duration>) {
         let age = age.map_or(-1, |age| age.as_millis() as i64);
-        self.state(&format!("{kind}_proof_age_ms"), age);
+        self.set_gauge(&format!("{kind}_proof_age_ms"), age);
     }
 
     /// Sets the point of the store's history up to which a kind is known.
-    pub fn store_point(&self, kind: &str, at: StorePoint) {
-        self.state(&format!("{kind}_epoch"), at.epoch() as i64);
-        self.state(&format!("{kind}_revision"), at.revision() as i64);
+    pub fn set_store_point(&self, kind: &str, at: StorePoint) {
+        self.set_gauge(&format!("{kind}_epoch"), at.epoch() as i64);
+        self.set_gauge(&format!("{kind}_revision"), at.revision() as i64);
     }
 
     /// Encodes all metrics as text.
-    pub fn text(&self) -> Vec<u8> {
-        for (kind, count) in logs::left_out() {
+    pub fn encode(&self) -> Vec<u8> {
+        for (kind, count) in logs::dropped_lines() {
             let count = i64::try_from(count).unwrap_or(i64::MAX);
-            self.left_out.with_label_values(&[kind]).set(count);
+            self.count_invalid_items.with_label_values(&[kind]).set(count);
         }
         let mut text = Vec::new();
         // Encoding to memory fails only for metrics without samples, which are left out.
--- a/crates/larkspring/src/direct/unknown.rs
+++ b/crates/larkspring/src/direct/unknown.rs
@@ -8,7 +8,7 @@
 
 /// Where an unrecognised name was found.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub(super) enum Place {
+pub(super) enum NameSource {
     /// A header of an endpoint's answer.
     Answer,
     /// A field of an engine's report.
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub(super) struct UnknownNames {
     counter: IntCounterVec,
-    names: Mutex<HashSet<(Place, String)>>,
+    names: Mutex<HashSet<(NameSource, String)>>,
 }
 
 /// Limits the names that are counted separately, so that an endpoint with ever new names
@@ -39,7 +39,7 @@
     }
 
     /// Counts a name, and logs it the first time.
-    pub fn count(&self, place: Place, name: &str) {
+    pub fn count(&self, place: NameSource, name: &str) {
         let name: String = name.chars().take(MAX_NAME_CHARS).collect();
         let name = name.escape_default().to_string();
         let mut names = self.names.lock();
@@ -58,7 +58,7 @@
     }
 }
 
-impl Place {
+impl NameSource {
     /// Returns the label used in logs and metrics.
     fn name(self) -> &'static str {
         match self {
--- a/crates/larkspring/src/direct/watch.rs
+++ b/crates/larkspring/src/direct/watch.rs
@@ -5,18 +5,20 @@
 
 use fastrand::Rng;
 use futures_lite::future;
-use larkspring_core::fleet::reads::{AgentPace, StorePace};
+use larkspring_core::fleet::reads::{AgentReadTiming, StoreReadTiming};
 use larkspring_core::ids::StorePoint;
 use larkspring_core::retry::backoff;
 use smol::Timer;
 
-use super::beliefs::Beliefs;
+use super::beliefs::ReplicatedState;
 use super::cfg::ProcessCfg;
-use super::edge::{After, Ask, Directory, Kind, Read, State, Via};
-use super::logs::{self, Line};
+use super::edge::{
+    ChangeQuery, EncodedState, ReadOutcome, ReadSource, StateKind, StateQuery, StateStore,
+};
+use super::logs::{self, LineKind};
 use super::stats::Stats;
-use super::unknown::Place;
-use crate::exec::{self, within};
+use super::unknown::NameSource;
+use crate::exec::{self, with_timeout};
 use crate::platform::PlatformError;
 
 /// First and longest pause after a failed call.
@@ -28,8 +30,8 @@
 
 /// Follows all kinds in the background, as long as the tasks are kept.
 pub fn follow(
-    directory: Arc<dyn Directory>,
-    beliefs: Arc<Beliefs>,
+    directory: Arc<dyn StateStore>,
+    beliefs: Arc<ReplicatedState>,
     stats: Arc<Stats>,
     cfg: &ProcessCfg,
 ) -> Vec<smol::Task<()>> {
@@ -44,7 +46,7 @@
         };
         exec::spawn(follower.run())
     };
-    let mut tasks: Vec<_> = Kind::ALL.into_iter().map(start).collect();
+    let mut tasks: Vec<_> = StateKind::ALL.into_iter().map(start).collect();
     tasks.push(exec::spawn(expire(beliefs)));
     tasks
 }
@@ -52,26 +54,26 @@
 /// How often a kind of declared state is read.
 #[derive(Debug, Clone, Copy)]
 struct Pace {
-    store: StorePace,
-    agent: AgentPace,
+    store: StoreReadTiming,
+    agent: AgentReadTiming,
     /// Longest time for which a read of the store waits for a change.
     wait: Duration,
 }
 
 impl Pace {
-    fn of(cfg: &ProcessCfg, kind: Kind) -> Self {
-        let bound = cfg.bound(kind);
-        let store = StorePace::of_entry(bound, ProcessCfg::changes(kind));
-        let keys = cfg.routing_wait().filter(|_| kind == Kind::Routing);
-        let wait = keys.map_or(store.wait, |wait| wait.min(store.wait));
-        Self { store, agent: AgentPace::of(bound), wait }
+    fn of(cfg: &ProcessCfg, kind: StateKind) -> Self {
+        let bound = cfg.max_staleness(kind);
+        let store = StoreReadTiming::for_entry(bound, ProcessCfg::change_frequency(kind));
+        let keys = cfg.routing_wait().filter(|_| kind == StateKind::Routing);
+        let wait = keys.map_or(store.long_poll, |wait| wait.min(store.long_poll));
+        Self { store, agent: AgentReadTiming::new(bound), wait }
     }
 }
 
 struct Follower {
-    kind: Kind,
-    directory: Arc<dyn Directory>,
-    beliefs: Arc<Beliefs>,
+    kind: StateKind,
+    directory: Arc<dyn StateStore>,
+    beliefs: Arc<ReplicatedState>,
     stats: Arc<Stats>,
     pace: Pace,
     /// Number of consecutive failed calls.
@@ -82,17 +84,17 @@
     async fn run(mut self) {
         loop {
             let error = self.follow().await;
-            let available = self.beliefs.store_back();
+            let available = self.beliefs.store_recovered();
             self.record_failure(&error);
             let mut rng = Rng::new();
             let wait = backoff(INITIAL_BACKOFF, MAX_BACKOFF, self.failures, &mut rng);
             self.failures += 1;
             // A single call may fail by itself. While the store is unavailable, only one
             // follower sends calls.
-            if self.kind == Kind::Routing || self.failures == 1 {
+            if self.kind == StateKind::Routing || self.failures == 1 {
                 Timer::after(wait).await;
             } else {
-                within(STORE_WAIT_TIMEOUT, available).await;
+                with_timeout(STORE_WAIT_TIMEOUT, available).await;
             }
         }
     }
@@ -103,11 +105,15 @@
         loop {
             let read = match after {
                 Some(after) => self.watch(after).await,
-                None => self.directory.read(Ask { kind: self.kind, after: None }).await,
+                None => {
+                    self.directory
+                        .fetch(StateQuery { kind: self.kind, changes: None })
+                        .await
+                }
             };
             let applied = match read {
-                Ok(Read::State(state)) => self.apply(&state),
-                Ok(Read::HistoryGone) => {
+                Ok(ReadOutcome::State(state)) => self.apply(&state),
+                Ok(ReadOutcome::HistoryCompacted) => {
                     tracing::info!(event = "history gone", kind = self.kind.name());
                     after = None;
                     continue;
@@ -118,62 +124,65 @@
                 Ok(applied) => applied,
                 Err(e) => return e,
             };
-            after = Some(After { at, wait: self.pace.wait });
+            after = Some(ChangeQuery { known: at, max_wait: self.pace.wait });
             Timer::after(self.pause(via)).await;
         }
     }
 
     /// Applies the result of a read; returns its point in the store's history and who
     /// answered.
-    fn apply(&mut self, state: &State) -> Result<(StorePoint, Via), PlatformError> {
+    fn apply(
+        &mut self,
+        state: &EncodedState,
+    ) -> Result<(StorePoint, ReadSource), PlatformError> {
         let listed = self.directory.decode(self.kind, state)?;
         let now = Instant::now();
         self.failures = 0;
-        match state.via {
-            Via::Store => self.stats.store_call(self.kind.name(), true),
-            Via::Agent => self.stats.agent_read(self.kind.name()),
+        match state.source {
+            ReadSource::Store => self.stats.count_store_call(self.kind.name(), true),
+            ReadSource::Agent => self.stats.count_agent_read(self.kind.name()),
         }
-        self.beliefs.store_answered(now.checked_sub(state.age).unwrap_or(now));
+        self.beliefs.record_store_answer(now.checked_sub(state.age).unwrap_or(now));
         let at = listed.at;
-        self.stats.store_point(self.kind.name(), at);
-        self.stats.unknown_words(Place::Listed, &listed.unknown);
-        let left_out = listed.items.iter().filter(|item| item.is_unreadable()).count();
-        self.stats.left_out(self.kind.name(), left_out as u64);
+        self.stats.set_store_point(self.kind.name(), at);
+        self.stats.count_unknown_names(NameSource::Listed, &listed.unknown_names);
+        let left_out = listed.items.iter().filter(|item| item.is_invalid()).count();
+        self.stats.count_invalid_items(self.kind.name(), left_out as u64);
         let unreadable = left_out > 0;
         let readable = !listed.items.is_empty() && !unreadable;
-        match state.whole {
-            true => self.beliefs.replace(now, self.kind, listed),
-            false => self.beliefs.update(now, listed),
+        match state.is_complete {
+            true => self.beliefs.replace_all(now, self.kind, listed),
+            false => self.beliefs.apply_changes(now, listed),
         }
-        if self.kind == Kind::Routing && (unreadable || readable) {
-            self.beliefs.routing_in_doubt(unreadable);
+        if self.kind == StateKind::Routing && (unreadable || readable) {
+            self.beliefs.set_routing_invalid(unreadable);
         }
-        if let Some(at) = state.proved {
-            self.beliefs.proved(self.kind, at);
+        if let Some(at) = state.proved_at {
+            self.beliefs.record_proof(self.kind, at);
         }
-        Ok((at, state.via))
+        Ok((at, state.source))
     }
 
-    async fn watch(&self, after: After) -> Result<Read, PlatformError> {
+    async fn watch(&self, after: ChangeQuery) -> Result<ReadOutcome, PlatformError> {
         let unavailable = async {
-            self.beliefs.store_lost().await;
+            self.beliefs.wait_store_unavailable().await;
             let cause = "the store is unavailable to other calls".into();
             Err(PlatformError::NoEffect("watch objects", cause))
         };
-        let ask = Ask { kind: self.kind, after: Some(after) };
-        future::or(self.directory.read(ask), unavailable).await
+        let ask = StateQuery { kind: self.kind, changes: Some(after) };
+        future::or(self.directory.fetch(ask), unavailable).await
     }
 
-    fn pause(&self, via: Via) -> Duration {
+    fn pause(&self, via: ReadSource) -> Duration {
         match via {
-            Via::Agent => self.pace.agent.pause,
-            Via::Store => self.pace.store.pause,
+            ReadSource::Agent => self.pace.agent.pause,
+            ReadSource::Store => self.pace.store.pause,
         }
     }
 
     fn record_failure(&self, e: &PlatformError) {
-        self.stats.store_call(self.kind.name(), false);
-        if logs::allows(Line::Belief) {
+        self.stats.count_store_call(self.kind.name(), false);
+        if logs::is_allowed(LineKind::StateChange) {
             let age = self.beliefs.proof_age(self.kind).map(|age| age.as_millis() as u64);
             tracing::info!(
                 event = "read failed",
@@ -183,12 +192,12 @@
                 proof_age_ms = age,
             );
         }
-        self.beliefs.store_failed(Instant::now(), &e.to_string());
+        self.beliefs.record_store_failure(Instant::now(), &e.to_string());
     }
 }
 
 /// Removes endpoints that expired and were not listed again.
-async fn expire(beliefs: Arc<Beliefs>) {
+async fn expire(beliefs: Arc<ReplicatedState>) {
     loop {
         let changed = beliefs.changed();
         match beliefs.expire(Instant::now()) {
--- a/crates/larkspring/src/entry/at_most_once.rs
+++ b/crates/larkspring/src/entry/at_most_once.rs
@@ -6,7 +6,7 @@
 
 use bytes::{Bytes, BytesMut};
 use http_types::Response;
-use larkspring_core::claims::{Settled, Verdict};
+use larkspring_core::claims::{ClaimOutcome, ClaimVerdict};
 use larkspring_core::outcome::{Outcome, Refusal, Step};
 use larkspring_proto::keys::KeptAnswer;
 use std::time::Duration;
@@ -58,7 +58,7 @@
     let request = xxh3_64(&req.body) ^ xxh3_64(req.target_name().as_bytes());
     let key = KeyClaim::new(&req.caller.name, key, request, attempt.into(), left);
     let answered = keys.claim(&key).await?;
-    if let Verdict::Granted = answered.verdict {
+    if let ClaimVerdict::Granted = answered.verdict {
         return Ok(ClaimResult::Granted(Claim {
             keys: keys.clone(),
             key,
@@ -83,21 +83,21 @@
 fn refuse_or_replay(answered: ClaimAnswer) -> Result<ClaimResult, Refusal> {
     let unknown = |text: &str| Refusal::unknown(Step::Claim, text);
     let refusal = match (answered.verdict, answered.answer) {
-        (Verdict::Ran, Some(answer)) => return Ok(ClaimResult::Replay(answer)),
-        (Verdict::Ran, None) => {
+        (ClaimVerdict::Ran, Some(answer)) => return Ok(ClaimResult::Replay(answer)),
+        (ClaimVerdict::Ran, None) => {
             let text = "already ran; its answer is no longer kept";
             Refusal::failed(Step::Claim, text)
         }
-        (Verdict::Running, _) => unknown("another attempt at this key is running")
+        (ClaimVerdict::Running, _) => unknown("another attempt at this key is running")
             .retry_after(RUNNING_RETRY_DELAY),
-        (Verdict::Mismatch, _) => {
+        (ClaimVerdict::Mismatch, _) => {
             let text = "this key was used for another request";
             Refusal::failed(Step::Claim, text)
         }
-        (Verdict::Full, _) => {
+        (ClaimVerdict::Full, _) => {
             unknown("too many keys are remembered").retry_after(RUNNING_RETRY_DELAY)
         }
-        (Verdict::Granted | Verdict::Unknown | Verdict::Foreign, _) => {
+        (ClaimVerdict::Granted | ClaimVerdict::Unknown | ClaimVerdict::NotHolder, _) => {
             unknown("an earlier attempt at this key may have run")
         }
     };
@@ -126,8 +126,8 @@
     /// Settles a request that was refused.
     pub async fn settle_refused(mut self, refusal: &Refusal) {
         let settled = match refusal.outcome {
-            Outcome::NotRun => Settled::NotRun,
-            Outcome::Unknown | Outcome::Failed => Settled::Unknown,
+            Outcome::NotRun => ClaimOutcome::NotRun,
+            Outcome::Unknown | Outcome::Failed => ClaimOutcome::Unknown,
         };
         self.settled = true;
         self.keys.settle(&self.key, settled, None).await;
@@ -140,10 +140,10 @@
             content_type: std::mem::take(&mut self.content_type),
             body: body.freeze(),
         });
-        self.settle_later(Settled::Ran, answer);
+        self.settle_later(ClaimOutcome::Ran, answer);
     }
 
-    fn settle_later(&mut self, settled: Settled, answer: Option<KeptAnswer>) {
+    fn settle_later(&mut self, settled: ClaimOutcome, answer: Option<KeptAnswer>) {
         self.settled = true;
         let (keys, key) = (self.keys.clone(), self.key.clone());
         exec::spawn(async move { keys.settle(&key, settled, answer).await }).detach();
@@ -153,7 +153,7 @@
 impl Drop for Claim {
     fn drop(&mut self) {
         if !self.settled {
-            self.settle_later(Settled::Unknown, None);
+            self.settle_later(ClaimOutcome::Unknown, None);
         }
     }
 }
--- a/crates/larkspring/src/entry/dispatch.rs
+++ b/crates/larkspring/src/entry/dispatch.rs
@@ -9,7 +9,7 @@
 use larkspring_core::ids::EndpointId;
 use larkspring_core::outcome::{Outcome, Refusal, Step};
 use larkspring_core::retry::backoff;
-use larkspring_core::route::Policy;
+use larkspring_core::route::RoutingPolicy;
 use larkspring_proto::agent::agent_client::AgentClient;
 use larkspring_proto::agent::{
     dispatch_down, dispatch_up, Begin, Credit, DispatchDown, DispatchUp, Hint,
@@ -57,7 +57,7 @@
     entry: &Arc<EntryState>,
     req: Inbound,
 ) -> Result<StartedAnswer, Refusal> {
-    entry.budget.lock().earn();
+    entry.budget.lock().record_request();
     let mut tried: Vec<EndpointId> = Vec::new();
     // Outcome of the latest earlier attempt that an endpoint may have run.
     let mut earlier = None;
@@ -79,14 +79,14 @@
         if next.is_err() {
             return Err(last);
         }
-        if !entry.budget.lock().spend() {
-            entry.metrics.count("retries", "outcome", "no_budget");
+        if !entry.budget.lock().try_retry() {
+            entry.metrics.increment("retries", "outcome", "no_budget");
             return Err(last);
         }
         if last.outcome != Outcome::NotRun {
             earlier = Some(last.outcome);
         }
-        entry.metrics.count("retries", "outcome", "sent");
+        entry.metrics.increment("retries", "outcome", "sent");
         tracing::info!(refusal = %last, "retrying at another endpoint");
         Timer::after(wait).await;
     }
@@ -112,8 +112,12 @@
         Destination::Model { target, base, .. } => {
             let target = target.hash();
             let near = match entry.cfg.routing {
-                Policy::Predicted | Policy::Hash => state.engines_near(base, target),
-                Policy::Random | Policy::Least => state.engines(base).iter().collect(),
+                RoutingPolicy::ShortestWait | RoutingPolicy::Hash => {
+                    state.candidate_engines(base, target)
+                }
+                RoutingPolicy::Random | RoutingPolicy::FewestRequests => {
+                    state.engines(base).iter().collect()
+                }
             };
             (near, Some(target))
         }
@@ -178,7 +182,7 @@
 ) -> Result<AgentCall, Refusal> {
     let peer = endpoint.name.clone();
     let not_sent = |cause: String| {
-        entry.router.unreachable(Instant::now(), &peer);
+        entry.router.record_unreachable(Instant::now(), &peer);
         let refusal = Refusal::not_run(Step::Connect, cause).elsewhere();
         refusal.peer(&*peer).retry_after(NO_ENDPOINT_RETRY_DELAY)
     };
@@ -188,7 +192,7 @@
     let (up, messages) = channel::unbounded();
     let start = start_message(entry, req);
     let _ = up.try_send(DispatchUp { kind: Some(dispatch_up::Kind::Start(start)) });
-    entry.router.sent(&endpoint.name);
+    entry.router.record_sent(&endpoint.name);
     let mut call = AgentCall { entry: entry.clone(), endpoint, up, down: None };
     let mut client = AgentClient::with_origin(channel, origin);
     match client.dispatch(messages).await {
@@ -275,13 +279,17 @@
     pub fn record_report(&self, hint: Option<Hint>) {
         if let Some(hint) = hint {
             let name = &self.endpoint.name;
-            self.entry.router.learn(Instant::now(), name, load_report_from_wire(hint));
+            self.entry.router.record_load_report(
+                Instant::now(),
+                name,
+                load_report_from_wire(hint),
+            );
         }
     }
 }
 
 impl Drop for AgentCall {
     fn drop(&mut self) {
-        self.entry.router.done(&self.endpoint.name);
+        self.entry.router.record_done(&self.endpoint.name);
     }
 }
--- a/crates/larkspring/src/entry/inbound.rs
+++ b/crates/larkspring/src/entry/inbound.rs
@@ -100,7 +100,7 @@
             body: body.into(),
             content_type: header(&req, "content-type").unwrap_or_default().to_owned(),
             max_tokens: 0,
-            trace: TraceParent::next(parent),
+            trace: TraceParent::child(parent),
             caller,
         };
         let path = req.url().path();
@@ -154,7 +154,8 @@
         let (service, rest) = rest.split_once('/').unwrap_or((rest, ""));
         let mut path = format!("/{rest}");
         let state = entry.in_force.state();
-        let once = state.service_call(service, method.as_ref(), &path, &self.caller)?;
+        let once =
+            state.check_service_call(service, method.as_ref(), &path, &self.caller)?;
         self.repeatable &= !once;
         if let Some(query) = query {
             path = format!("{path}?{query}");
--- a/crates/larkspring/src/entry/keys/handover.rs
+++ b/crates/larkspring/src/entry/keys/handover.rs
@@ -2,7 +2,7 @@
 
 use std::sync::atomic::Ordering;
 
-use larkspring_core::claims::{Claim, ClaimKey, Settled};
+use larkspring_core::claims::{Claim, ClaimKey, ClaimOutcome};
 use larkspring_core::tenure::{handover, same_run};
 use larkspring_proto::keys::{
     HandoverReply, HandoverRequest, KeptAnswer, KeptClaim, Tenure,
@@ -101,14 +101,14 @@
         request: claim.request,
         attempt: claim.attempt,
         deadline_ms: claim.deadline,
-        settled: claim.settled.map_or(0, Settled::code),
+        settled: claim.settled.map_or(0, ClaimOutcome::code),
         answer: claim.answer.map(|(answer, _)| answer),
     }
 }
 
 fn from_message(claim: KeptClaim) -> Option<(ClaimKey, Claim<KeptAnswer>)> {
     let key = ClaimKey::from_be_bytes((&claim.key[..]).try_into().ok()?);
-    let settled = (claim.settled > 0).then(|| Settled::from_code(claim.settled));
+    let settled = (claim.settled > 0).then(|| ClaimOutcome::from_code(claim.settled));
     let answer = claim.answer.map(|answer| {
         let len = answer.body.len();
         (answer, len)
--- a/crates/larkspring/src/entry/keys/mod.rs
+++ b/crates/larkspring/src/entry/keys/mod.rs
@@ -11,10 +11,12 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use event_listener::Event;
-use larkspring_core::claims::{Ask, ClaimKey, ClaimLimits, Claims, Settled, Verdict};
+use larkspring_core::claims::{
+    ClaimAttempt, ClaimKey, ClaimLimits, ClaimOutcome, ClaimTable, ClaimVerdict,
+};
 use larkspring_core::outcome::{Refusal, Step};
 use larkspring_core::tenure::{
-    millis, same_run, standing, Millis, Standing, Terms, PARTITIONS,
+    millis, record_status, same_run, Millis, RecordStatus, TenureSettings, PARTITIONS,
 };
 use larkspring_proto::keys::keys_client::KeysClient;
 use larkspring_proto::keys::{
@@ -24,10 +26,10 @@
 use tonic::Status;
 use uuid::Uuid;
 
-pub use self::rpc::Service;
+pub use self::rpc::KeyService;
 use self::table::TableView;
 pub use self::table::TABLE_OBJECT;
-use crate::exec::within;
+use crate::exec::with_timeout;
 use crate::platform::objects::HttpObjects;
 use crate::rpc::channel::{Channel, Pool};
 use crate::settings::{EntryCfg, Settings};
@@ -36,13 +38,13 @@
 pub struct Keys {
     /// This run, as written in the table.
     own_tenure: Tenure,
-    terms: Terms,
+    terms: TenureSettings,
     /// Maximum number of partitions that this entry takes.
     max_partitions: usize,
     view: Mutex<TableView>,
     changed: Event,
     /// The claims of each partition, each under a separate lock.
-    claims: Vec<Mutex<Claims<KeptAnswer>>>,
+    claims: Vec<Mutex<ClaimTable<KeptAnswer>>>,
     api: HttpObjects,
     pool: Pool,
     /// Addresses of other entries, from the settings.
@@ -59,14 +61,14 @@
     /// Creation time of the key; 0 if the key carries none.
     pub created_ms: Millis,
     /// The claim.
-    pub ask: Ask,
+    pub ask: ClaimAttempt,
 }
 
 /// Reply to a request to claim a key.
 #[derive(Debug, Clone)]
 pub struct ClaimAnswer {
     /// The decision on the key.
-    pub verdict: Verdict,
+    pub verdict: ClaimVerdict,
     /// Time after which a retry makes sense.
     pub retry_after: Option<Duration>,
     /// The kept answer, if the request already ran.
@@ -92,8 +94,8 @@
     pub fn new(cfg: &EntryCfg, settings: &Settings, addr: SocketAddr) -> Self {
         let limits = ClaimLimits {
             retention: cfg.terms.retention,
-            keys: MAX_KEYS / PARTITIONS,
-            answer_bytes: cfg.kept_answer_bytes / PARTITIONS,
+            max_keys: MAX_KEYS / PARTITIONS,
+            max_answer_bytes: cfg.kept_answer_bytes / PARTITIONS,
         };
         let own_tenure = Tenure {
             holder: addr.to_string(),
@@ -108,7 +110,9 @@
             max_partitions: cfg.max_key_partitions,
             view: Mutex::default(),
             changed: Event::new(),
-            claims: (0..PARTITIONS).map(|_| Mutex::new(Claims::new(limits))).collect(),
+            claims: (0..PARTITIONS)
+                .map(|_| Mutex::new(ClaimTable::new(limits)))
+                .collect(),
             api: HttpObjects::new(&platform.objects, platform.timeout),
             pool: Pool::new(MAX_CONNECTIONS, CALL_TIMEOUT),
             peers: platform.peers.clone(),
@@ -139,7 +143,7 @@
                 continue;
             };
             match self.ask(&holder, key).await {
-                Ok(reply) if reply.verdict == Verdict::Foreign => {
+                Ok(reply) if reply.verdict == ClaimVerdict::NotHolder => {
                     cause = "the asked entry does not hold the key".into();
                     self.refresh().await;
                 }
@@ -158,7 +162,7 @@
     pub async fn settle(
         &self,
         key: &KeyClaim,
-        settled: Settled,
+        settled: ClaimOutcome,
         answer: Option<KeptAnswer>,
     ) {
         for _ in 0..SETTLE_ATTEMPTS {
@@ -186,7 +190,7 @@
     /// Decides on a claim, if this run holds the key's partition.
     fn decide(&self, run: u64, key: KeyClaim) -> ClaimAnswer {
         let now = wall_clock();
-        let foreign = ClaimAnswer::new(Verdict::Foreign);
+        let foreign = ClaimAnswer::new(ClaimVerdict::NotHolder);
         let Some(tenure) = self.holder(key.partition) else { return foreign };
         if run != self.own_tenure.run || !same_run(&tenure, &self.own_tenure) {
             return foreign;
@@ -196,27 +200,32 @@
         if self.closing.load(Ordering::Acquire) {
             return foreign;
         }
-        if let Some((verdict, answer)) = claims.look(now, &key.ask) {
+        if let Some((verdict, answer)) = claims.verdict_on(now, &key.ask) {
             return ClaimAnswer { verdict, retry_after: None, answer };
         }
-        match standing(&tenure, &self.terms, now, key.created_ms) {
-            Standing::Known => {
+        match record_status(&tenure, &self.terms, now, key.created_ms) {
+            RecordStatus::Complete => {
                 let (verdict, answer) = claims.claim(now, key.ask);
                 ClaimAnswer { verdict, retry_after: None, answer }
             }
-            Standing::Lost => ClaimAnswer::new(Verdict::Unknown),
-            Standing::LostUntil(at) => {
+            RecordStatus::Incomplete => ClaimAnswer::new(ClaimVerdict::Unknown),
+            RecordStatus::IncompleteUntil(at) => {
                 let wait = Duration::from_millis(at - now);
                 ClaimAnswer {
                     retry_after: Some(wait),
-                    ..ClaimAnswer::new(Verdict::Unknown)
+                    ..ClaimAnswer::new(ClaimVerdict::Unknown)
                 }
             }
-            Standing::Foreign => foreign,
+            RecordStatus::NotHeld => foreign,
         }
     }
 
-    fn settle_here(&self, key: &KeyClaim, settled: Settled, answer: Option<KeptAnswer>) {
+    fn settle_here(
+        &self,
+        key: &KeyClaim,
+        settled: ClaimOutcome,
+        answer: Option<KeptAnswer>,
+    ) {
         let answer = answer.map(|a| {
             let len = a.body.len();
             (a, len)
@@ -261,14 +270,14 @@
 }
 
 impl ClaimAnswer {
-    fn new(verdict: Verdict) -> Self {
+    fn new(verdict: ClaimVerdict) -> Self {
         Self { verdict, retry_after: None, answer: None }
     }
 
     fn from_reply(reply: ClaimReply) -> Self {
         let wait = reply.retry_after_ms;
         Self {
-            verdict: Verdict::from_code(reply.verdict),
+            verdict: ClaimVerdict::from_code(reply.verdict),
             retry_after: (wait > 0).then(|| Duration::from_millis(wait)),
             answer: reply.answer,
         }
@@ -289,7 +298,7 @@
         Self {
             partition: (hash % PARTITIONS as u128) as usize,
             created_ms: created_ms(key),
-            ask: Ask { key: hash, request, attempt, deadline },
+            ask: ClaimAttempt { key: hash, request, attempt, deadline },
         }
     }
 }
@@ -324,6 +333,6 @@
     call: impl std::future::Future<Output = Result<tonic::Response<T>, Status>>,
 ) -> Result<T, Status> {
     let late = || Err(Status::deadline_exceeded("no answer in time"));
-    let reply = within(CALL_TIMEOUT, call).await.unwrap_or_else(late);
+    let reply = with_timeout(CALL_TIMEOUT, call).await.unwrap_or_else(late);
     reply.map(tonic::Response::into_inner)
 }
--- a/crates/larkspring/src/entry/keys/rpc.rs
+++ b/crates/larkspring/src/entry/keys/rpc.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use larkspring_core::claims::{Ask, ClaimKey, Settled};
+use larkspring_core::claims::{ClaimAttempt, ClaimKey, ClaimOutcome};
 use larkspring_core::tenure::PARTITIONS;
 use larkspring_proto::keys::keys_server::Keys as KeysRpc;
 use larkspring_proto::keys::{
@@ -14,13 +14,13 @@
 use super::{wall_clock, KeyClaim, Keys};
 
 /// Serves an entry's keys to other entries.
-pub struct Service {
+pub struct KeyService {
     /// The keys of the entry.
     pub keys: Arc<Keys>,
 }
 
 #[tonic::async_trait]
-impl KeysRpc for Service {
+impl KeysRpc for KeyService {
     async fn claim(
         &self,
         req: Request<ClaimRequest>,
@@ -29,7 +29,7 @@
         let key = KeyClaim {
             partition: partition(req.partition)?,
             created_ms: req.birth_ms,
-            ask: Ask {
+            ask: ClaimAttempt {
                 key: key(&req.key)?,
                 request: req.request,
                 attempt: req.attempt,
@@ -50,10 +50,14 @@
         req: Request<SettleRequest>,
     ) -> Result<Response<SettleReply>, Status> {
         let req = req.into_inner();
-        let ask =
-            Ask { key: key(&req.key)?, request: 0, attempt: req.attempt, deadline: 0 };
+        let ask = ClaimAttempt {
+            key: key(&req.key)?,
+            request: 0,
+            attempt: req.attempt,
+            deadline: 0,
+        };
         let key = KeyClaim { partition: partition(req.partition)?, created_ms: 0, ask };
-        self.keys.settle_here(&key, Settled::from_code(req.settled), req.answer);
+        self.keys.settle_here(&key, ClaimOutcome::from_code(req.settled), req.answer);
         Ok(Response::new(SettleReply {}))
     }
 
--- a/crates/larkspring/src/entry/keys/table.rs
+++ b/crates/larkspring/src/entry/keys/table.rs
@@ -5,7 +5,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use larkspring_core::tenure::{renewal, same_run, takeover, Holder, RunId, PARTITIONS};
+use larkspring_core::tenure::{
+    renewal, same_run, takeover, HolderState, RunId, PARTITIONS,
+};
 use larkspring_proto::keys::{HelloReply, HelloRequest, KeyTable, Tenure};
 use smol::Timer;
 
@@ -274,13 +276,13 @@
     }
 
     /// Returns whether the run that holds a partition is known to have ended.
-    fn holder_state(&self, view: &TableView, t: &Tenure) -> Holder {
+    fn holder_state(&self, view: &TableView, t: &Tenure) -> HolderState {
         // Only one run can listen at an address.
         let replaced = t.holder == self.own_tenure.holder && t.run != self.own_tenure.run;
         let ended = view.ended.contains(&(t.holder.clone(), t.run));
         match replaced || ended {
-            true => Holder::Ended,
-            false => Holder::MayLive,
+            true => HolderState::Ended,
+            false => HolderState::MayBeRunning,
         }
     }
 
--- a/crates/larkspring/src/entry/loads.rs
+++ b/crates/larkspring/src/entry/loads.rs
@@ -6,7 +6,7 @@
 
 use event_listener::Event;
 use futures_lite::FutureExt;
-use larkspring_core::budget::{Budget, BudgetLimits, LoadId};
+use larkspring_core::budget::{LoadBudget, LoadBudgetLimits, LoadId};
 use larkspring_proto::loads::loads_server::Loads as LoadsRpc;
 use larkspring_proto::loads::{DoneReply, DoneRequest, PermitReply, PermitRequest};
 use parking_lot::Mutex;
@@ -15,7 +15,7 @@
 use tonic::{Request, Response, Status};
 
 use super::keys::Keys;
-use crate::exec::within;
+use crate::exec::with_timeout;
 
 /// The load budget, and the agents that wait for a permit.
 pub struct LoadGranter {
@@ -24,12 +24,12 @@
 }
 
 struct State {
-    budget: Budget,
+    budget: LoadBudget,
     waiting: HashMap<LoadId, Sender<()>>,
 }
 
 /// Serves load permits to agents, if this entry leads.
-pub struct Service {
+pub struct LoadGrantService {
     /// The budget.
     pub loads: Arc<LoadGranter>,
     /// Decides whether this entry leads.
@@ -41,8 +41,8 @@
 
 impl LoadGranter {
     /// Creates an unused budget.
-    pub fn new(limits: BudgetLimits) -> Self {
-        let state = State { budget: Budget::new(limits), waiting: HashMap::new() };
+    pub fn new(limits: LoadBudgetLimits) -> Self {
+        let state = State { budget: LoadBudget::new(limits), waiting: HashMap::new() };
         Self { state: Mutex::new(state), changed: Event::new() }
     }
 
@@ -71,7 +71,7 @@
                 state.budget.done(&load);
             }
         }
-        state.budget.next(now)
+        state.budget.next_check(now)
     }
 
     async fn permit(&self, req: PermitRequest) -> bool {
@@ -80,10 +80,10 @@
         {
             let mut state = self.state.lock();
             state.waiting.insert(req.load.clone(), tx);
-            state.budget.ask(Instant::now(), req.load, req.priority, req.waiting);
+            state.budget.request(Instant::now(), req.load, req.priority, req.waiting);
         }
         self.changed.notify(usize::MAX);
-        matches!(within(MAX_PERMIT_WAIT, rx.recv()).await, Some(Ok(())))
+        matches!(with_timeout(MAX_PERMIT_WAIT, rx.recv()).await, Some(Ok(())))
     }
 
     fn done(&self, load: &str) {
@@ -108,7 +108,7 @@
 }
 
 #[tonic::async_trait]
-impl LoadsRpc for Service {
+impl LoadsRpc for LoadGrantService {
     async fn permit(
         &self,
         req: Request<PermitRequest>,
--- a/crates/larkspring/src/entry/mod.rs
+++ b/crates/larkspring/src/entry/mod.rs
@@ -25,7 +25,7 @@
 
 use http_types::{Body, Method, Request, Response};
 use hyper::body::Incoming;
-use larkspring_core::budget::BudgetLimits;
+use larkspring_core::budget::LoadBudgetLimits;
 use larkspring_core::declared::Caller;
 use larkspring_core::outcome::{Refusal, Step};
 use larkspring_core::retry::RetryBudget;
@@ -47,10 +47,10 @@
 use self::loads::LoadGranter;
 use crate::agent::StartError;
 use crate::exec;
-use crate::follow::{self, Follower};
-use crate::http::bearer;
+use crate::follow::{self, StateDistributor};
+use crate::http::bearer_key;
 use crate::http::head::HeadError;
-use crate::http::server::{serve, Handler, Limits};
+use crate::http::server::{serve, Handler, ServerLimits};
 use crate::in_force::InForce;
 use crate::platform::objects::HttpObjects;
 use crate::rpc::{self, channel::Pool};
@@ -65,16 +65,16 @@
     /// The address on which operators are served, if the settings name an address.
     pub operator_addr: Option<SocketAddr>,
     inner: Arc<EntryState>,
-    _stopper: rpc::serve::Stopper,
+    _stopper: rpc::serve::ShutdownHandle,
     _tasks: Vec<Task<()>>,
 }
 
 /// Routes calls of other processes to the services of an entry, by path.
 #[derive(Clone)]
 struct ControlService {
-    config: ConfigServer<follow::Service>,
-    keys: KeysServer<keys::Service>,
-    loads: LoadsServer<loads::Service>,
+    config: ConfigServer<follow::DistributionService>,
+    keys: KeysServer<keys::KeyService>,
+    loads: LoadsServer<loads::LoadGrantService>,
 }
 
 impl Service<http::Request<Incoming>> for ControlService {
@@ -99,7 +99,8 @@
 const CONFIG_PATH: &str = "/larkspring.config.";
 const LOADS_PATH: &str = "/larkspring.loads.";
 /// Load budget used when the settings set no limit.
-const UNLIMITED: BudgetLimits = BudgetLimits { rate: 1e6, concurrency: 1_000_000 };
+const UNLIMITED: LoadBudgetLimits =
+    LoadBudgetLimits { rate: 1e6, concurrency: 1_000_000 };
 
 /// State shared by all requests of an entry.
 #[derive(Debug)]
@@ -147,11 +148,16 @@
         let in_force = Arc::new(InForce::default());
         let relay = control_addr.to_string();
         let follower =
-            Arc::new(Follower::new(in_force.clone(), &settings.platform, relay));
+            Arc::new(StateDistributor::new(in_force.clone(), &settings.platform, relay));
         let service = ControlService {
-            config: ConfigServer::new(follow::Service { follower: follower.clone() }),
-            keys: KeysServer::new(keys::Service { keys: keys.clone() }),
-            loads: LoadsServer::new(loads::Service { loads, keys: keys.clone() }),
+            config: ConfigServer::new(follow::DistributionService {
+                follower: follower.clone(),
+            }),
+            keys: KeysServer::new(keys::KeyService { keys: keys.clone() }),
+            loads: LoadsServer::new(loads::LoadGrantService {
+                loads,
+                keys: keys.clone(),
+            }),
         };
         let stopper = rpc::serve::serve(control, service);
         let maintain = exec::spawn(keys.clone().maintain());
@@ -178,7 +184,8 @@
         tracing::info!(addr = %self.addr, "entry is stopping");
         self.inner.stopping.store(true, Ordering::Release);
         self.inner.keys.hand_over().await;
-        exec::within(self.inner.cfg.stop_grace, self.inner.limits.wait_idle()).await;
+        exec::with_timeout(self.inner.cfg.stop_grace, self.inner.limits.wait_idle())
+            .await;
     }
 }
 
@@ -223,8 +230,8 @@
         }
     }
 
-    fn http_limits(&self) -> Limits {
-        Limits {
+    fn http_limits(&self) -> ServerLimits {
+        ServerLimits {
             max_body: self.cfg.max_body,
             read_timeout: self.cfg.head_timeout,
             idle_timeout: IDLE_TIMEOUT,
@@ -312,7 +319,7 @@
 
     fn caller(&self, req: &Request) -> Result<Arc<Caller>, Refusal> {
         let header = req.header("authorization").map(|v| v.as_str());
-        let key = header.and_then(|v| bearer(v.as_bytes()));
+        let key = header.and_then(|v| bearer_key(v.as_bytes()));
         let key = key.and_then(|key| std::str::from_utf8(key).ok());
         let refused = || Refusal::not_run(Step::Authenticate, "a valid key is needed");
         let state = self.in_force.state();
@@ -352,28 +359,28 @@
         let parent = req.header("traceparent").map(|v| v.as_str().to_owned());
         let res = match self.answer(req).await {
             Ok(res) => {
-                self.metrics.count("answers", "outcome", "ok");
+                self.metrics.increment("answers", "outcome", "ok");
                 res
             }
             Err(refusal) => {
-                self.metrics.count("answers", "outcome", refusal.outcome.name());
+                self.metrics.increment("answers", "outcome", refusal.outcome.name());
                 tracing::info!(%refusal, "refused");
-                let trace = TraceParent::next(parent.as_deref());
+                let trace = TraceParent::child(parent.as_deref());
                 let mut res = error_response::response(&refusal);
                 res.insert_header("traceparent", trace.to_string());
                 res
             }
         };
-        self.metrics.time("first_byte", started.elapsed());
+        self.metrics.record_duration("first_byte", started.elapsed());
         res
     }
 
-    fn refuse(&self, error: &HeadError) -> Response {
-        self.metrics.count("answers", "outcome", "unreadable");
+    fn error_response(&self, error: &HeadError) -> Response {
+        self.metrics.increment("answers", "outcome", "unreadable");
         error_response::unreadable(error)
     }
 
-    fn stopping(&self) -> bool {
+    fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Acquire)
     }
 }
--- a/crates/larkspring/src/entry/operator.rs
+++ b/crates/larkspring/src/entry/operator.rs
@@ -10,9 +10,9 @@
 use subtle::ConstantTimeEq;
 
 use super::{error_response, json_answer, EntryState};
-use crate::http::bearer;
+use crate::http::bearer_key;
 use crate::http::head::HeadError;
-use crate::http::server::{Handler, Limits};
+use crate::http::server::{Handler, ServerLimits};
 use crate::operate::publish::PublishError;
 use crate::operate::{declare, plan};
 use crate::platform::objects::HttpObjects;
@@ -31,8 +31,8 @@
 const TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Returns the limits for operator connections.
-pub(super) fn limits() -> Limits {
-    Limits {
+pub(super) fn limits() -> ServerLimits {
+    ServerLimits {
         max_body: MAX_BODY,
         read_timeout: TIMEOUT,
         idle_timeout: TIMEOUT,
@@ -58,7 +58,7 @@
         }
     }
 
-    fn refuse(&self, error: &HeadError) -> Response {
+    fn error_response(&self, error: &HeadError) -> Response {
         error_response::unreadable(error)
     }
 }
@@ -66,7 +66,7 @@
 impl Operator {
     fn is_authorized(&self, req: &Request) -> bool {
         let header = req.header("authorization").map(|v| v.as_str());
-        let key = header.and_then(|v| bearer(v.as_bytes())).unwrap_or_default();
+        let key = header.and_then(|v| bearer_key(v.as_bytes())).unwrap_or_default();
         let hash = key_hash(std::str::from_utf8(key).unwrap_or_default());
         hash.as_bytes().ct_eq(self.key_sha256.as_bytes()).into()
     }
@@ -80,7 +80,7 @@
             Err(e) => return error_answer(422, &e.to_string()),
         };
         let id = format!("{:032x}", fastrand::u128(..));
-        match plan::make(&self.api, &wanted, &id).await {
+        match plan::create_plan(&self.api, &wanted, &id).await {
             Ok(mut plan) => {
                 plan.chunks.clear();
                 json_answer(200, &json!(plan))
@@ -90,7 +90,7 @@
     }
 
     async fn show(&self, id: &str) -> Response {
-        match plan::find(&self.api, id).await {
+        match plan::read_plan(&self.api, id).await {
             Ok(Some(mut plan)) => {
                 plan.chunks.clear();
                 json_answer(200, &json!(plan))
@@ -101,7 +101,7 @@
     }
 
     async fn confirm(&self, id: &str) -> Response {
-        match plan::confirm(&self.api, id).await {
+        match plan::publish_plan(&self.api, id).await {
             Ok(revision) => json_answer(200, &json!({ "revision": revision })),
             Err(e) => publish_error_answer(&e),
         }
@@ -111,7 +111,7 @@
         let state = self.entry.in_force.state();
         let endpoints: Vec<_> = state
             .endpoints()
-            .map(|e| json!({ "name": &*e.name, "hall": &*e.hall, "leaving": e.leaving }))
+            .map(|e| json!({ "name": &*e.name, "hall": &*e.hall, "leaving": e.draining }))
             .collect();
         json_answer(
             200,
@@ -126,7 +126,7 @@
     }
 
     async fn declared(&self) -> Response {
-        match plan::read_present(&self.api).await {
+        match plan::read_current(&self.api).await {
             Ok((from, all)) => {
                 let body = json!({ "revision": from.root.revision,
                     "changes": from.root.changes, "declared": all });
--- a/crates/larkspring/src/exec.rs
+++ b/crates/larkspring/src/exec.rs
@@ -17,7 +17,10 @@
 }
 
 /// Runs `work` for at most `limit`; `None` if it did not end by then.
-pub async fn within<T>(limit: Duration, work: impl Future<Output = T>) -> Option<T> {
+pub async fn with_timeout<T>(
+    limit: Duration,
+    work: impl Future<Output = T>,
+) -> Option<T> {
     let timeout = async {
         Timer::after(limit).await;
         None
--- a/crates/larkspring/src/follow.rs
+++ b/crates/larkspring/src/follow.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use futures_lite::{FutureExt, Stream, StreamExt};
-use larkspring_core::declared::Part;
+use larkspring_core::declared::IndexedChunk;
 use larkspring_core::retry::backoff;
 use larkspring_proto::config::config_client::ConfigClient;
 use larkspring_proto::config::config_server::Config as ConfigRpc;
@@ -23,7 +23,7 @@
 use tonic::{Request, Response, Status, Streaming};
 
 use crate::entry::keys::TABLE_OBJECT;
-use crate::exec::{self, within};
+use crate::exec::{self, with_timeout};
 use crate::in_force::InForce;
 use crate::platform::objects::{HttpObjects, ObjectApi};
 use crate::platform::vms::{HttpVms, VmList};
@@ -31,7 +31,7 @@
 use crate::settings::PlatformCfg;
 
 /// Follows the declared state and relays it to followers.
-pub struct Follower {
+pub struct StateDistributor {
     in_force: Arc<InForce>,
     api: HttpObjects,
     /// The VM list, if the settings name an address.
@@ -68,7 +68,7 @@
 /// Redirects that a follower accepts before it starts again at the root.
 const MAX_REDIRECTS: u32 = 4;
 
-impl Follower {
+impl StateDistributor {
     /// Creates a follower; `relay_addr` is the address on which it serves others, or empty.
     pub fn new(in_force: Arc<InForce>, cfg: &PlatformCfg, relay_addr: String) -> Self {
         Self {
@@ -171,12 +171,13 @@
         let channel = channel.map_err(|e| unavailable(e.to_string()))?;
         let origin = channel.origin();
         let state = self.in_force.state();
-        let chunks = state.parts().iter().map(|part| part.hash.clone()).collect();
+        let chunks = state.chunks().iter().map(|part| part.hash.clone()).collect();
         let req = FollowRequest { relay: self.relay_addr.clone(), chunks };
         let mut client = ConfigClient::with_origin(channel, origin);
         let late = || Err(Status::deadline_exceeded("no answer in time"));
-        let reply =
-            within(HEARTBEAT_TIMEOUT, client.follow(req)).await.unwrap_or_else(late)?;
+        let reply = with_timeout(HEARTBEAT_TIMEOUT, client.follow(req))
+            .await
+            .unwrap_or_else(late)?;
         Ok(reply.into_inner())
     }
 
@@ -189,7 +190,8 @@
         let mut changed = HashMap::new();
         loop {
             let late = || Some(Err(Status::deadline_exceeded("no sign of life")));
-            let next = within(HEARTBEAT_TIMEOUT, down.next()).await.unwrap_or_else(late);
+            let next =
+                with_timeout(HEARTBEAT_TIMEOUT, down.next()).await.unwrap_or_else(late);
             let Some(update) = next else { return Ok(None) };
             let update = update?;
             if !update.redirect.is_empty() {
@@ -203,7 +205,7 @@
                 Instant::now().checked_sub(age).unwrap_or_else(Instant::now);
             self.in_force.set_leaving_vms(update.leaving_vms);
             for chunk in update.changed {
-                let part = Part::from_message(&chunk.hash, chunk.chunk);
+                let part = IndexedChunk::decode(&chunk.hash, chunk.chunk);
                 let part = part.map_err(|e| Status::data_loss(e.to_string()))?;
                 changed.insert(chunk.place as usize, Arc::new(part));
             }
@@ -217,11 +219,11 @@
         &self,
         revision: u64,
         count: u32,
-        mut changed: HashMap<usize, Arc<Part>>,
+        mut changed: HashMap<usize, Arc<IndexedChunk>>,
     ) -> Result<(), Status> {
         let state = self.in_force.state();
         let part = |place: usize| {
-            changed.remove(&place).or_else(|| state.parts().get(place).cloned())
+            changed.remove(&place).or_else(|| state.chunks().get(place).cloned())
         };
         let parts: Option<Vec<_>> = (0..count as usize).map(part).collect();
         let parts = parts.ok_or_else(|| Status::data_loss("a chunk is missing"))?;
@@ -250,13 +252,13 @@
 }
 
 /// Serves followers of a process.
-pub struct Service {
+pub struct DistributionService {
     /// The follower whose state is relayed.
-    pub follower: Arc<Follower>,
+    pub follower: Arc<StateDistributor>,
 }
 
 #[tonic::async_trait]
-impl ConfigRpc for Service {
+impl ConfigRpc for DistributionService {
     type FollowStream = Pin<Box<dyn Stream<Item = Result<Update, Status>> + Send>>;
 
     async fn follow(
@@ -283,7 +285,7 @@
 
 /// Sends a follower each change and heartbeats until the follower disconnects.
 async fn serve_follower(
-    follower: Arc<Follower>,
+    follower: Arc<StateDistributor>,
     id: u64,
     mut held: Vec<String>,
     tx: Sender<Result<Update, Status>>,
@@ -307,20 +309,20 @@
                 return;
             }
         }
-        within(HEARTBEAT_INTERVAL, changed).await;
+        with_timeout(HEARTBEAT_INTERVAL, changed).await;
     }
 }
 
 /// Returns the messages that update a follower from the chunks `held` to `state`.
 fn updates(
-    state: &larkspring_core::declared::State,
+    state: &larkspring_core::declared::DeclaredState,
     held: &mut Vec<String>,
 ) -> Vec<Update> {
-    let count = state.parts().len();
+    let count = state.chunks().len();
     held.resize(count, String::new());
     let mut messages = vec![Update::default()];
     let mut bytes = 0;
-    for (place, part) in state.parts().iter().enumerate() {
+    for (place, part) in state.chunks().iter().enumerate() {
         if held[place] == part.hash {
             continue;
         }
@@ -329,11 +331,11 @@
             messages.push(Update::default());
             bytes = 0;
         }
-        bytes += part.message.len();
+        bytes += part.encoded.len();
         let changed = ChangedChunk {
             place: place as u32,
             hash: part.hash.clone(),
-            chunk: part.message.clone(),
+            chunk: part.encoded.clone(),
         };
         if let Some(message) = messages.last_mut() {
             message.changed.push(changed);
--- a/crates/larkspring/src/http/client.rs
+++ b/crates/larkspring/src/http/client.rs
@@ -10,7 +10,7 @@
 use rustix::net::sockopt::set_socket_linger;
 use smol::net::TcpStream;
 
-use crate::exec::within;
+use crate::exec::with_timeout;
 
 quick_error! {
     /// Error of a request without an answer, with the peer's address.
@@ -41,7 +41,7 @@
 }
 
 /// Maximum size of a buffered answer, in bytes.
-pub const MAX_ANSWER: usize = 2 * 1024 * 1024;
+pub const MAX_ANSWER_BYTES: usize = 2 * 1024 * 1024;
 
 /// Builds a request to `addr`; `path` must begin with a slash.
 pub fn request(method: Method, addr: &str, path: &str) -> Result<Request, HttpError> {
@@ -54,7 +54,7 @@
 pub async fn connect(addr: &str, limit: Duration) -> Result<TcpStream, HttpError> {
     let parsed: SocketAddr = addr.parse().map_err(|_| HttpError::Address(addr.into()))?;
     let late = || Err(ErrorKind::TimedOut.into());
-    let sock = within(limit, TcpStream::connect(parsed)).await.unwrap_or_else(late);
+    let sock = with_timeout(limit, TcpStream::connect(parsed)).await.unwrap_or_else(late);
     let sock = sock.map_err(|e| match e.kind() {
         ErrorKind::ConnectionRefused => HttpError::Refused(addr.into()),
         _ => HttpError::Connect(addr.into(), e.to_string()),
@@ -75,7 +75,7 @@
 }
 
 /// Sends a request on an open connection and returns the answer's head.
-pub async fn exchange(
+pub async fn send_request(
     sock: TcpStream,
     addr: &str,
     req: Request,
@@ -92,23 +92,23 @@
 ) -> Result<(Response, Vec<u8>), HttpError> {
     let work = async {
         let sock = connect(addr, limit).await?;
-        let mut res = exchange(sock, addr, req).await?;
+        let mut res = send_request(sock, addr, req).await?;
         let body = read_body(addr, &mut res).await?;
         Ok((res, body))
     };
     let late = || Err(HttpError::Timeout(addr.into()));
-    within(limit, work).await.unwrap_or_else(late)
+    with_timeout(limit, work).await.unwrap_or_else(late)
 }
 
 /// Reads a body and checks that it has the declared length.
 async fn read_body(addr: &str, res: &mut Response) -> Result<Vec<u8>, HttpError> {
     let len = res.len();
     let mut body = Vec::new();
-    let mut reader = res.take_body().take(MAX_ANSWER as u64 + 1);
+    let mut reader = res.take_body().take(MAX_ANSWER_BYTES as u64 + 1);
     let read = reader.read_to_end(&mut body).await;
     read.map_err(|e| HttpError::Exchange(addr.into(), e.to_string()))?;
-    if body.len() > MAX_ANSWER {
-        return Err(HttpError::TooLarge(addr.into(), MAX_ANSWER));
+    if body.len() > MAX_ANSWER_BYTES {
+        return Err(HttpError::TooLarge(addr.into(), MAX_ANSWER_BYTES));
     }
     if len.is_some_and(|len| len != body.len()) {
         return Err(HttpError::Exchange(addr.into(), "the answer was cut off".into()));
--- a/crates/larkspring/src/http/mod.rs
+++ b/crates/larkspring/src/http/mod.rs
@@ -8,7 +8,7 @@
 const BEARER: &[u8] = b"bearer";
 
 /// Returns the key in an `Authorization` header; `None` if there is no key.
-pub fn bearer(value: &[u8]) -> Option<&[u8]> {
+pub fn bearer_key(value: &[u8]) -> Option<&[u8]> {
     let (scheme, key) = value.trim_ascii().split_at_checked(BEARER.len())?;
     let is_bearer = scheme.eq_ignore_ascii_case(BEARER) && key.starts_with(b" ");
     Some(key.trim_ascii()).filter(|key| is_bearer && !key.is_empty())
--- a/crates/larkspring/src/http/server.rs
+++ b/crates/larkspring/src/http/server.rs
@@ -28,7 +28,7 @@
 
 /// Limits of a server and its connections.
 #[derive(Debug, Clone)]
-pub struct Limits {
+pub struct ServerLimits {
     /// Maximum size of a request body, in bytes.
     pub max_body: usize,
     /// Limit on the time until a request has arrived completely.
@@ -51,16 +51,20 @@
     ) -> impl Future<Output = Response> + Send;
 
     /// Builds the answer to a request that could not be read.
-    fn refuse(&self, error: &HeadError) -> Response;
+    fn error_response(&self, error: &HeadError) -> Response;
 
     /// Whether connections close after the current answer.
-    fn stopping(&self) -> bool {
+    fn is_stopping(&self) -> bool {
         false
     }
 }
 
 /// Accepts connections and closes those over the limit at once; never returns.
-pub async fn serve<H: Handler>(listener: TcpListener, limits: Limits, handler: Arc<H>) {
+pub async fn serve<H: Handler>(
+    listener: TcpListener,
+    limits: ServerLimits,
+    handler: Arc<H>,
+) {
     let limits = Arc::new(limits);
     let open = Arc::new(());
     loop {
@@ -91,7 +95,7 @@
 struct Connection {
     sock: TcpStream,
     peer: SocketAddr,
-    limits: Arc<Limits>,
+    limits: Arc<ServerLimits>,
     /// Bytes received and not yet processed.
     buf: Vec<u8>,
 }
@@ -116,7 +120,7 @@
             if !self.send(method, res).await? {
                 return Ok(());
             }
-            if !head.keep_alive || handler.stopping() {
+            if !head.keep_alive || handler.is_stopping() {
                 return Ok(());
             }
         }
@@ -243,7 +247,7 @@
     }
 
     async fn refuse<H: Handler>(&mut self, h: &H, e: &HeadError) -> io::Result<()> {
-        let mut res = h.refuse(e);
+        let mut res = h.error_response(e);
         res.insert_header("connection", "close");
         let mut encoder = async_h1::server::Encoder::new(res, Method::Get);
         let mut buf = Vec::new();
--- a/crates/larkspring/src/in_force.rs
+++ b/crates/larkspring/src/in_force.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use arc_swap::ArcSwap;
-use larkspring_core::declared::{Part, State};
+use larkspring_core::declared::{DeclaredState, IndexedChunk};
 use larkspring_core::ids::Revision;
 use larkspring_core::retry::backoff;
 use larkspring_proto::declared::{Chunk, Root};
@@ -25,7 +25,7 @@
 /// The state in force; its revision never goes down.
 #[derive(Debug, Default)]
 pub struct InForce {
-    state: ArcSwap<State>,
+    state: ArcSwap<DeclaredState>,
     /// VMs marked as leaving in the platform's list, sorted.
     leaving_vms: ArcSwap<Vec<String>>,
     changed: event_listener::Event,
@@ -33,13 +33,13 @@
 
 impl InForce {
     /// Returns the state in force.
-    pub fn state(&self) -> Arc<State> {
+    pub fn state(&self) -> Arc<DeclaredState> {
         self.state.load_full()
     }
 
     /// Puts a state in force unless the current one is as new; returns whether it did.
-    pub fn apply(&self, revision: Revision, parts: Vec<Arc<Part>>) -> bool {
-        let state = Arc::new(State::build(revision, parts));
+    pub fn apply(&self, revision: Revision, parts: Vec<Arc<IndexedChunk>>) -> bool {
+        let state = Arc::new(DeclaredState::build(revision, parts));
         let before = self.state.rcu(|old| match old.revision < revision {
             true => state.clone(),
             false => old.clone(),
@@ -129,16 +129,18 @@
         &self,
         api: &dyn ObjectApi,
         root: &Root,
-    ) -> Result<Vec<Arc<Part>>, PlatformError> {
+    ) -> Result<Vec<Arc<IndexedChunk>>, PlatformError> {
         let state = self.state();
-        let held: HashMap<_, _> = state.parts().iter().map(|p| (&p.hash, p)).collect();
+        let held: HashMap<_, _> = state.chunks().iter().map(|p| (&p.hash, p)).collect();
         let mut parts = Vec::with_capacity(root.chunks.len());
-        let mut fetched: HashMap<&String, Arc<Part>> = HashMap::new();
+        let mut fetched: HashMap<&String, Arc<IndexedChunk>> = HashMap::new();
         for hash in &root.chunks {
             let known = held.get(hash).copied().or_else(|| fetched.get(hash));
             let part = match known {
                 Some(part) => Arc::clone(part),
-                None => Arc::new(Part::index(hash, &fetch_chunk(api, hash).await?)),
+                None => {
+                    Arc::new(IndexedChunk::index(hash, &fetch_chunk(api, hash).await?))
+                }
             };
             fetched.insert(hash, part.clone());
             parts.push(part);
--- a/crates/larkspring/src/operate/declare.rs
+++ b/crates/larkspring/src/operate/declare.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use larkspring_core::ids::VERSION_MARK;
+use larkspring_core::ids::VERSION_SEPARATOR;
 use larkspring_proto::declared::{Adapter, Caller, Chunk, Endpoint, Service};
 use quick_error::quick_error;
 
@@ -112,8 +112,8 @@
 
     fn adapter(&mut self, adapter: &Adapter) {
         let name = &adapter.name;
-        if name.contains(VERSION_MARK) {
-            let text = format!("adapter `{name}` has `{VERSION_MARK}` in its name");
+        if name.contains(VERSION_SEPARATOR) {
+            let text = format!("adapter `{name}` has `{VERSION_SEPARATOR}` in its name");
             self.error(name, &text);
         }
         if adapter.base.is_empty() {
--- a/crates/larkspring/src/operate/plan.rs
+++ b/crates/larkspring/src/operate/plan.rs
@@ -11,7 +11,7 @@
 use larkspring_proto::declared::{Adapter, Caller, Chunk, Root};
 use serde::{Deserialize, Serialize};
 
-use super::publish::{present, publish_root, write_chunks, PublishError, RootSnapshot};
+use super::publish::{publish_root, read_root, write_chunks, PublishError, RootSnapshot};
 use crate::in_force::chunk_name;
 use crate::platform::objects::ObjectApi;
 use crate::platform::PlatformError;
@@ -49,13 +49,13 @@
 const SUSPICIOUS_REMOVED_SHARE: f64 = 0.2;
 
 /// Makes a plan for `wanted` and stores it.
-pub async fn make(
+pub async fn create_plan(
     api: &dyn ObjectApi,
     wanted: &Chunk,
     id: &str,
 ) -> Result<Plan, PublishError> {
     let refused = |e: PlatformError| PublishError::Refused(e.to_string());
-    let from = present(api).await.map_err(refused)?;
+    let from = read_root(api).await.map_err(refused)?;
     let now = read_all(api, &from.root).await.map_err(refused)?;
     let mut plan = compare(&now, wanted);
     plan.id = id.into();
@@ -64,7 +64,7 @@
     let value = serde_json::to_vec(&plan).unwrap_or_default();
     match api.put(&plan_name(id), 0, value).await {
         Ok(_) => Ok(plan),
-        Err(e) => match find(api, id).await {
+        Err(e) => match read_plan(api, id).await {
             Ok(Some(kept)) if kept == plan => Ok(plan),
             _ => Err(PublishError::Refused(e.to_string())),
         },
@@ -72,13 +72,13 @@
 }
 
 /// Publishes a plan; returns the revision.
-pub async fn confirm(api: &dyn ObjectApi, id: &str) -> Result<u64, PublishError> {
+pub async fn publish_plan(api: &dyn ObjectApi, id: &str) -> Result<u64, PublishError> {
     let refused = |e: PlatformError| PublishError::Refused(e.to_string());
-    let from = present(api).await.map_err(refused)?;
+    let from = read_root(api).await.map_err(refused)?;
     if from.root.changes.iter().any(|change| change == id) {
         return Ok(from.root.revision);
     }
-    let plan = find(api, id).await.map_err(refused)?;
+    let plan = read_plan(api, id).await.map_err(refused)?;
     let plan = plan.ok_or_else(|| PublishError::Refused(format!("no plan {id}")))?;
     if plan.from != from.root.revision {
         return Err(PublishError::Outdated(from.root.revision));
@@ -87,7 +87,10 @@
 }
 
 /// Reads a stored plan.
-pub async fn find(api: &dyn ObjectApi, id: &str) -> Result<Option<Plan>, PlatformError> {
+pub async fn read_plan(
+    api: &dyn ObjectApi,
+    id: &str,
+) -> Result<Option<Plan>, PlatformError> {
     let Some(object) = api.get(&plan_name(id)).await? else { return Ok(None) };
     let plan = serde_json::from_slice(&object.value);
     plan.map(Some).map_err(|e| PlatformError::Answer("read a plan", e.to_string()))
@@ -113,10 +116,10 @@
 }
 
 /// Reads the current root and its complete declared state.
-pub async fn read_present(
+pub async fn read_current(
     api: &dyn ObjectApi,
 ) -> Result<(RootSnapshot, Chunk), PlatformError> {
-    let from = present(api).await?;
+    let from = read_root(api).await?;
     let all = read_all(api, &from.root).await?;
     Ok((from, all))
 }
--- a/crates/larkspring/src/operate/publish.rs
+++ b/crates/larkspring/src/operate/publish.rs
@@ -7,7 +7,7 @@
 
 use std::collections::BTreeSet;
 
-use larkspring_core::declared::{key_hash, place};
+use larkspring_core::declared::{hash_bucket, key_hash};
 use larkspring_proto::declared::{Chunk, Root};
 use quick_error::quick_error;
 
@@ -52,7 +52,7 @@
 }
 
 /// Reads the current root.
-pub async fn present(api: &dyn ObjectApi) -> Result<RootSnapshot, PlatformError> {
+pub async fn read_root(api: &dyn ObjectApi) -> Result<RootSnapshot, PlatformError> {
     let Some(object) = api.get(ROOT_OBJECT).await? else {
         return Ok(RootSnapshot::default());
     };
@@ -85,7 +85,7 @@
 ) -> Result<Vec<String>, PublishError> {
     let mut hashes = Vec::new();
     let mut known: BTreeSet<_> = from.chunks.iter().cloned().collect();
-    for chunk in split(all) {
+    for chunk in split_chunks(all) {
         let value = serde_json::to_vec(&chunk).unwrap_or_default();
         let mut hash = key_hash(&String::from_utf8_lossy(&value));
         hash.truncate(HASH_DIGITS);
@@ -113,19 +113,19 @@
 }
 
 /// Splits a declaration into chunks by the hash of each name.
-pub fn split(all: &Chunk) -> Vec<Chunk> {
+pub fn split_chunks(all: &Chunk) -> Vec<Chunk> {
     let mut chunks = vec![Chunk::default(); CHUNK_COUNT];
     for adapter in &all.adapters {
-        chunks[place(&adapter.name, CHUNK_COUNT)].adapters.push(adapter.clone());
+        chunks[hash_bucket(&adapter.name, CHUNK_COUNT)].adapters.push(adapter.clone());
     }
     for caller in &all.callers {
-        chunks[place(&caller.name, CHUNK_COUNT)].callers.push(caller.clone());
+        chunks[hash_bucket(&caller.name, CHUNK_COUNT)].callers.push(caller.clone());
     }
     for service in &all.services {
-        chunks[place(&service.name, CHUNK_COUNT)].services.push(service.clone());
+        chunks[hash_bucket(&service.name, CHUNK_COUNT)].services.push(service.clone());
     }
     for endpoint in &all.endpoints {
-        chunks[place(&endpoint.name, CHUNK_COUNT)].endpoints.push(endpoint.clone());
+        chunks[hash_bucket(&endpoint.name, CHUNK_COUNT)].endpoints.push(endpoint.clone());
     }
     chunks
 }
@@ -163,7 +163,7 @@
         return Err(PublishError::Refused(cause.to_string()));
     }
     for _ in 0..READ_BACK_ATTEMPTS {
-        let Ok(now) = present(api).await else { continue };
+        let Ok(now) = read_root(api).await else { continue };
         return match now.root.changes.iter().any(|c| c == change) {
             true => Ok(now.root.revision),
             false => Err(PublishError::Outdated(now.root.revision)),
--- a/crates/larkspring/src/platform/mod.rs
+++ b/crates/larkspring/src/platform/mod.rs
@@ -11,7 +11,7 @@
 use crate::http::client::HttpError;
 
 /// Future returned by the traits of this module.
-pub type Answer<'a, T> =
+pub type PlatformFuture<'a, T> =
     Pin<Box<dyn Future<Output = Result<T, PlatformError>> + Send + 'a>>;
 
 quick_error! {
--- a/crates/larkspring/src/platform/objects.rs
+++ b/crates/larkspring/src/platform/objects.rs
@@ -4,7 +4,7 @@
 
 use http_types::{Method, Request};
 
-use super::{Answer, PlatformError};
+use super::{PlatformError, PlatformFuture};
 use crate::http::client::{fetch, request};
 
 /// Version of an object, assigned by the platform; 0 means that the object does not
@@ -23,7 +23,7 @@
 /// The operations of the object API that larkspring uses.
 pub trait ObjectApi: Send + Sync {
     /// Reads an object.
-    fn get<'a>(&'a self, name: &'a str) -> Answer<'a, Option<Object>>;
+    fn get<'a>(&'a self, name: &'a str) -> PlatformFuture<'a, Option<Object>>;
 
     /// Writes an object if it still has version `expected`; returns the new version.
     fn put<'a>(
@@ -31,10 +31,14 @@
         name: &'a str,
         expected: ObjectVersion,
         value: Vec<u8>,
-    ) -> Answer<'a, ObjectVersion>;
+    ) -> PlatformFuture<'a, ObjectVersion>;
 
     /// Removes an object if it still has version `expected`.
-    fn delete<'a>(&'a self, name: &'a str, expected: ObjectVersion) -> Answer<'a, ()>;
+    fn delete<'a>(
+        &'a self,
+        name: &'a str,
+        expected: ObjectVersion,
+    ) -> PlatformFuture<'a, ()>;
 
     /// Waits until an object's version exceeds `seen`; `None` if that takes over `limit`.
     fn watch<'a>(
@@ -42,7 +46,7 @@
         name: &'a str,
         seen: ObjectVersion,
         limit: Duration,
-    ) -> Answer<'a, Option<Object>>;
+    ) -> PlatformFuture<'a, Option<Object>>;
 }
 
 /// HTTP client of the object API.
@@ -83,7 +87,7 @@
 }
 
 impl ObjectApi for HttpObjects {
-    fn get<'a>(&'a self, name: &'a str) -> Answer<'a, Option<Object>> {
+    fn get<'a>(&'a self, name: &'a str) -> PlatformFuture<'a, Option<Object>> {
         Box::pin(async move {
             let path = format!("/v1/objects/{name}");
             let step = "read an object";
@@ -101,7 +105,7 @@
         name: &'a str,
         expected: ObjectVersion,
         value: Vec<u8>,
-    ) -> Answer<'a, ObjectVersion> {
+    ) -> PlatformFuture<'a, ObjectVersion> {
         Box::pin(async move {
             let path = format!("/v1/objects/{name}");
             let step = "write an object";
@@ -115,7 +119,11 @@
         })
     }
 
-    fn delete<'a>(&'a self, name: &'a str, expected: ObjectVersion) -> Answer<'a, ()> {
+    fn delete<'a>(
+        &'a self,
+        name: &'a str,
+        expected: ObjectVersion,
+    ) -> PlatformFuture<'a, ()> {
         Box::pin(async move {
             let path = format!("/v1/objects/{name}");
             let step = "remove an object";
@@ -135,7 +143,7 @@
         name: &'a str,
         seen: ObjectVersion,
         limit: Duration,
-    ) -> Answer<'a, Option<Object>> {
+    ) -> PlatformFuture<'a, Option<Object>> {
         Box::pin(async move {
             let wait = limit.as_millis();
             let path = format!("/v1/watch/{name}?after={seen}&wait_ms={wait}");
--- a/crates/larkspring/src/platform/vms.rs
+++ b/crates/larkspring/src/platform/vms.rs
@@ -6,7 +6,7 @@
 use http_types::Method;
 use serde::{Deserialize, Serialize};
 
-use super::{Answer, PlatformError};
+use super::{PlatformError, PlatformFuture};
 use crate::http::client::{fetch, request};
 
 /// An item of the VM list.
@@ -21,7 +21,7 @@
 /// The operations of the VM list that larkspring uses.
 pub trait VmList: Send + Sync {
     /// Reads the list.
-    fn list(&self) -> Answer<'_, Vec<Vm>>;
+    fn list(&self) -> PlatformFuture<'_, Vec<Vm>>;
 }
 
 /// HTTP client of the VM list.
@@ -39,7 +39,7 @@
 }
 
 impl VmList for HttpVms {
-    fn list(&self) -> Answer<'_, Vec<Vm>> {
+    fn list(&self) -> PlatformFuture<'_, Vec<Vm>> {
         Box::pin(async move {
             let step = "read the VM list";
             let fail = |e| PlatformError::from_http(step, e);
--- a/crates/larkspring/src/rpc/serve.rs
+++ b/crates/larkspring/src/rpc/serve.rs
@@ -17,27 +17,27 @@
 use tower_service::Service;
 
 use super::{CONNECTION_WINDOW, PROBE_INTERVAL, PROBE_TIMEOUT, STREAM_WINDOW};
-use crate::exec::{self, within, HyperExecutor};
+use crate::exec::{self, with_timeout, HyperExecutor};
 
 /// Handle for the graceful shutdown of a server.
 #[derive(Debug)]
-pub struct Stopper {
+pub struct ShutdownHandle {
     stop: Sender<()>,
     idle: Receiver<()>,
 }
 
-impl Stopper {
+impl ShutdownHandle {
     /// Refuses new calls and waits, up to `grace`, until the calls in progress have
     /// ended.
     pub async fn stop(self, grace: Duration) {
         self.stop.close();
         // The channel closes when the last connection has ended.
-        within(grace, self.idle.recv()).await;
+        with_timeout(grace, self.idle.recv()).await;
     }
 }
 
 /// Serves `service` on `listener` in the background until stopped.
-pub fn serve<S>(listener: TcpListener, service: S) -> Stopper
+pub fn serve<S>(listener: TcpListener, service: S) -> ShutdownHandle
 where
     S: Service<http::Request<Incoming>, Response = http::Response<Body>>,
     S: Clone + Send + Sync + 'static,
@@ -48,7 +48,7 @@
     let (busy, idle) = channel::bounded(1);
     let accept = accept_all(listener, service, stopped, busy);
     exec::spawn(accept).detach();
-    Stopper { stop, idle }
+    ShutdownHandle { stop, idle }
 }
 
 async fn accept_all<S>(
--- a/crates/larkspring/src/settings.rs
+++ b/crates/larkspring/src/settings.rs
@@ -5,10 +5,10 @@
 use std::path::Path;
 use std::time::Duration;
 
-use larkspring_core::budget::BudgetLimits;
-use larkspring_core::route::Policy;
-use larkspring_core::slots::Eviction;
-use larkspring_core::tenure::{Terms, PARTITIONS};
+use larkspring_core::budget::LoadBudgetLimits;
+use larkspring_core::route::RoutingPolicy;
+use larkspring_core::slots::EvictionPolicy;
+use larkspring_core::tenure::{TenureSettings, PARTITIONS};
 use larkspring_proto::settings as wire;
 use quick_error::quick_error;
 
@@ -72,11 +72,11 @@
     /// Retries for each hundred requests.
     pub retry_percent: u32,
     /// Policy for choosing an endpoint.
-    pub routing: Policy,
+    pub routing: RoutingPolicy,
     /// Address for other entries; by default the IP address for callers, with any port.
     pub control: SocketAddr,
     /// Durations on which the at-most-once guarantee depends.
-    pub terms: Terms,
+    pub terms: TenureSettings,
     /// Maximum number of key partitions that the entry takes.
     pub max_key_partitions: usize,
     /// Size of the answers kept for retries, in bytes.
@@ -109,7 +109,7 @@
     /// Interval between polls of the engine's state.
     pub poll: Duration,
     /// Policy for choosing the adapter to unload.
-    pub eviction: Eviction,
+    pub eviction: EvictionPolicy,
 }
 
 /// Addresses and limits of the platform.
@@ -124,7 +124,7 @@
     /// Other entries, to be followed while the object API is unavailable.
     pub peers: Vec<String>,
     /// Load budget of the weight store; `None` for no limit.
-    pub loads: Option<BudgetLimits>,
+    pub loads: Option<LoadBudgetLimits>,
 }
 
 /// Logs, spans and metrics.
@@ -191,10 +191,10 @@
     }
 
     fn entry(&mut self, raw: &wire::Entry) -> EntryCfg {
-        let routing = Policy::parse(&raw.routing).unwrap_or_else(|| {
+        let routing = RoutingPolicy::parse(&raw.routing).unwrap_or_else(|| {
             let text = "must be one of predicted, random, least, hash";
             self.error("entry.routing", text);
-            Policy::Predicted
+            RoutingPolicy::ShortestWait
         });
         let cfg = EntryCfg {
             listen: self.address("entry.listen", &raw.listen),
@@ -210,10 +210,10 @@
             retry_percent: if raw.retry_percent == 0 { 20 } else { raw.retry_percent },
             routing,
             control: self.control(raw),
-            terms: Terms {
+            terms: TenureSettings {
                 lease: millis(raw.key_lease_ms, 600_000),
                 retention: millis(raw.key_retention_ms, 600_000),
-                skew: millis(raw.clock_skew_ms, 1000),
+                max_clock_skew: millis(raw.clock_skew_ms, 1000),
             },
             operator: match raw.operator.as_str() {
                 "" => None,
@@ -227,7 +227,7 @@
             let text = "must be the SHA-256 of a key in hex if entry.operator is set";
             self.error("entry.operator_key_sha256", text);
         }
-        if cfg.terms.lease < cfg.terms.skew * MIN_LEASE_PER_SKEW {
+        if cfg.terms.lease < cfg.terms.max_clock_skew * MIN_LEASE_PER_SKEW {
             let text = "must be at least ten times entry.clock_skew_ms";
             self.error("entry.key_lease_ms", text);
         }
@@ -272,9 +272,9 @@
             stop_grace: millis(raw.stop_grace_ms, 120_000),
             load_timeout: millis(raw.load_timeout_ms, 30_000),
             poll: millis(raw.poll_ms, 500),
-            eviction: Eviction::parse(&raw.eviction).unwrap_or_else(|| {
+            eviction: EvictionPolicy::parse(&raw.eviction).unwrap_or_else(|| {
                 self.error("agent.eviction", "must be one of heat, lru");
-                Eviction::Heat
+                EvictionPolicy::LeastUsed
             }),
         }
     }
@@ -296,13 +296,13 @@
         }
     }
 
-    fn loads(&mut self, raw: &wire::Platform) -> Option<BudgetLimits> {
+    fn loads(&mut self, raw: &wire::Platform) -> Option<LoadBudgetLimits> {
         let (rate, concurrency) = (raw.load_rate, raw.load_concurrency as usize);
         if rate < 0.0 || (rate > 0.0) != (concurrency > 0) {
             let text = "load_rate and load_concurrency must be set together";
             self.error("platform.load_rate", text);
         }
-        (rate > 0.0).then_some(BudgetLimits { rate, concurrency })
+        (rate > 0.0).then_some(LoadBudgetLimits { rate, concurrency })
     }
 
     fn telemetry(&mut self, raw: &wire::Telemetry) -> TelemetryCfg {
--- a/crates/larkspring/src/stop.rs
+++ b/crates/larkspring/src/stop.rs
@@ -7,18 +7,18 @@
 
 /// Action requested by a signal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Asked {
+pub enum SignalAction {
     /// Shut down gracefully: SIGTERM or SIGINT.
     Stop,
     /// Read the settings again: SIGHUP.
     Reload,
 }
 
-/// The signals received since [`Requests::new`].
+/// The signals received since [`SignalStream::new`].
 #[derive(Debug)]
-pub struct Requests(Signals);
+pub struct SignalStream(Signals);
 
-impl Requests {
+impl SignalStream {
     /// Installs handlers for the signals, which then no longer end the process by
     /// default.
     pub fn new() -> io::Result<Self> {
@@ -27,18 +27,18 @@
     }
 
     /// Waits for the next signal.
-    pub async fn next(&mut self) -> Asked {
+    pub async fn next(&mut self) -> SignalAction {
         match self.0.next().await {
-            Some(Ok(Signal::Hup)) => Asked::Reload,
-            _ => Asked::Stop,
+            Some(Ok(Signal::Hup)) => SignalAction::Reload,
+            _ => SignalAction::Stop,
         }
     }
 }
 
 /// Waits for a signal to stop; a request to reload is only logged.
-pub async fn requested() -> io::Result<()> {
-    let mut requests = Requests::new()?;
-    while requests.next().await == Asked::Reload {
+pub async fn wait_for_stop_signal() -> io::Result<()> {
+    let mut requests = SignalStream::new()?;
+    while requests.next().await == SignalAction::Reload {
         tracing::info!(event = "reload", outcome = "settings are read at the start only");
     }
     Ok(())
--- a/crates/larkspring/src/telemetry.rs
+++ b/crates/larkspring/src/telemetry.rs
@@ -20,7 +20,7 @@
 
 /// Output of the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LogTo {
+pub enum LogOutput {
     /// Standard output, for the processes of a deployment.
     Stdout,
     /// Standard error, for commands whose standard output is read by a person.
@@ -37,14 +37,19 @@
 const MAX_BUFFERED_LINES: usize = 4096;
 
 /// Starts the log of a process on VM `vm`; later calls have no effect.
-pub fn start_log(vm: &str, level: tracing::Level, spans: bool, to: LogTo) -> LogGuard {
+pub fn start_log(
+    vm: &str,
+    level: tracing::Level,
+    spans: bool,
+    to: LogOutput,
+) -> LogGuard {
     let spans = if spans { FmtSpan::CLOSE } else { FmtSpan::NONE };
     let lines = NonBlockingBuilder::default()
         .buffered_lines_limit(MAX_BUFFERED_LINES)
         .lossy(true);
     let (writer, guard) = match to {
-        LogTo::Stdout => lines.finish(io::stdout()),
-        LogTo::Stderr => lines.finish(io::stderr()),
+        LogOutput::Stdout => lines.finish(io::stdout()),
+        LogOutput::Stderr => lines.finish(io::stderr()),
     };
     let log = tracing_subscriber::fmt()
         .json()
@@ -117,12 +122,12 @@
     }
 
     /// Counts an event with one tag.
-    pub fn count(&self, name: &str, tag: &str, value: &str) {
+    pub fn increment(&self, name: &str, tag: &str, value: &str) {
         self.client.count_with_tags(name, 1).with_tag(tag, value).send();
     }
 
     /// Records a duration in milliseconds.
-    pub fn time(&self, name: &str, took: Duration) {
+    pub fn record_duration(&self, name: &str, took: Duration) {
         let _ = self.client.time(name, took.as_millis() as u64);
     }
 }
@@ -151,7 +156,7 @@
 
 impl TraceParent {
     /// Starts the span of this hop, in the trace of `header` if that is valid.
-    pub fn next(header: Option<&str>) -> Self {
+    pub fn child(header: Option<&str>) -> Self {
         let trace = header.and_then(parse_trace_id);
         let new = || format!("{:032x}", fastrand::u128(1..));
         Self {
--- a/crates/larkspring/src/wire.rs
+++ b/crates/larkspring/src/wire.rs
@@ -33,11 +33,11 @@
 }
 
 /// Converts a load report from its message.
-pub fn load_report_from_wire(hint: wire::Hint) -> route::Hint {
-    route::Hint {
+pub fn load_report_from_wire(hint: wire::Hint) -> route::LoadReport {
+    route::LoadReport {
         running: hint.running,
         waiting: hint.waiting,
         resident: hint.resident,
-        leaving: hint.leaving,
+        draining: hint.leaving,
     }
 }
--- a/crates/larkspring/tests/clock.rs
+++ b/crates/larkspring/tests/clock.rs
@@ -2,9 +2,9 @@
 
 use std::time::{Duration, Instant};
 
-use larkspring::clock::{step, Moment};
-use larkspring::direct::beliefs::Beliefs;
-use larkspring::direct::edge::Kind;
+use larkspring::clock::{advance, BootInstant};
+use larkspring::direct::beliefs::ReplicatedState;
+use larkspring::direct::edge::StateKind;
 
 /// Guards against an entry that keeps serving from its view of the keys after a suspension:
 /// the monotonic clock stops meanwhile, so the view would seem fresh, and keys removed during
@@ -12,16 +12,16 @@
 #[test]
 fn proof_of_the_keys_ages_during_a_vm_suspension() {
     const SUSPENDED: Duration = Duration::from_secs(60);
-    let beliefs = Beliefs::default();
-    beliefs.proved(Kind::Routing, Moment::now());
-    let (before, steady) = (Moment::now(), Instant::now());
-    step(SUSPENDED);
+    let beliefs = ReplicatedState::default();
+    beliefs.record_proof(StateKind::Routing, BootInstant::now());
+    let (before, steady) = (BootInstant::now(), Instant::now());
+    advance(SUSPENDED);
     assert!(steady.elapsed() < SUSPENDED);
     assert!(before.elapsed() >= SUSPENDED);
-    assert!(beliefs.proof_age(Kind::Routing).is_some_and(|age| age >= SUSPENDED));
+    assert!(beliefs.proof_age(StateKind::Routing).is_some_and(|age| age >= SUSPENDED));
     // A proof in transit during the suspension is as old as the call that brought it.
-    beliefs.proved(Kind::Routing, before);
-    assert!(beliefs.proof_age(Kind::Routing).is_some_and(|age| age >= SUSPENDED));
-    beliefs.proved(Kind::Routing, Moment::now());
-    assert!(beliefs.proof_age(Kind::Routing).is_some_and(|age| age < SUSPENDED));
+    beliefs.record_proof(StateKind::Routing, before);
+    assert!(beliefs.proof_age(StateKind::Routing).is_some_and(|age| age >= SUSPENDED));
+    beliefs.record_proof(StateKind::Routing, BootInstant::now());
+    assert!(beliefs.proof_age(StateKind::Routing).is_some_and(|age| age < SUSPENDED));
 }
--- a/crates/larkspring/tests/fence.rs
+++ b/crates/larkspring/tests/fence.rs
@@ -6,7 +6,7 @@
 
 use larkspring::agent::fence::Fence;
 use larkspring::platform::objects::{Object, ObjectApi, ObjectVersion};
-use larkspring::platform::{Answer, PlatformError};
+use larkspring::platform::{PlatformError, PlatformFuture};
 
 /// An object API in memory, with outages and lost replies.
 #[derive(Clone, Default)]
@@ -27,7 +27,7 @@
 }
 
 impl ObjectApi for FaultyObjects {
-    fn get<'a>(&'a self, name: &'a str) -> Answer<'a, Option<Object>> {
+    fn get<'a>(&'a self, name: &'a str) -> PlatformFuture<'a, Option<Object>> {
         Box::pin(async move {
             let state = self.0.lock().unwrap();
             match state.outage {
@@ -42,7 +42,7 @@
         name: &'a str,
         expected: ObjectVersion,
         value: Vec<u8>,
-    ) -> Answer<'a, ObjectVersion> {
+    ) -> PlatformFuture<'a, ObjectVersion> {
         Box::pin(async move {
             let mut state = self.0.lock().unwrap();
             let present = state.objects.get(name).map_or(0, |o| o.version);
@@ -60,7 +60,7 @@
         })
     }
 
-    fn delete<'a>(&'a self, _: &'a str, _: ObjectVersion) -> Answer<'a, ()> {
+    fn delete<'a>(&'a self, _: &'a str, _: ObjectVersion) -> PlatformFuture<'a, ()> {
         unimplemented!("a fence removes nothing")
     }
 
@@ -69,7 +69,7 @@
         _: &'a str,
         _: ObjectVersion,
         _: Duration,
-    ) -> Answer<'a, Option<Object>> {
+    ) -> PlatformFuture<'a, Option<Object>> {
         unimplemented!("a fence watches nothing")
     }
 }
--- a/crates/larkspring/tests/parse.rs
+++ b/crates/larkspring/tests/parse.rs
@@ -4,7 +4,7 @@
 use larkspring::operate::declare;
 use larkspring::settings;
 use larkspring::telemetry::TraceParent;
-use larkspring_core::declared::Part;
+use larkspring_core::declared::IndexedChunk;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -75,7 +75,7 @@
 
     #[test]
     fn trace_header_is_kept_or_replaced(header in "\\PC{0,60}") {
-        let next = TraceParent::next(Some(&header));
+        let next = TraceParent::child(Some(&header));
         prop_assert_eq!((next.trace.len(), next.span.len()), (32, 16));
         prop_assert!(next.to_string().is_ascii());
     }
@@ -84,7 +84,7 @@
     fn relayed_chunk_is_parsed_or_refused(
         bytes in prop::collection::vec(any::<u8>(), 0..200),
     ) {
-        if let Ok(part) = Part::from_message("hash", bytes.into()) {
+        if let Ok(part) = IndexedChunk::decode("hash", bytes.into()) {
             prop_assert_eq!(part.hash, "hash");
         }
     }
