--- a/crates/larkspring-cli/src/platform.rs
+++ b/crates/larkspring-cli/src/platform.rs
@@ -7,7 +7,7 @@
 use larkspring::direct::cfg::{AgentCfg, EntryCfg};
 use larkspring::direct::entry::Entry;
 use larkspring::exec::{self, with_timeout};
-use larkspring::stop::{SignalAction, SignalStream};
+use larkspring::signals::{SignalAction, SignalStream};
 use larkspring::telemetry::{start_log, LogOutput};
 use larkspring_platform::protocol::PlatformProtocol;
 use larkspring_platform::settings::{Settings, SettingsError};
--- a/crates/larkspring-cli/src/process.rs
+++ b/crates/larkspring-cli/src/process.rs
@@ -4,7 +4,7 @@
 use larkspring::entry::Entry;
 use larkspring::settings::{self, Settings};
 use larkspring::telemetry::{start_log, LogGuard, LogOutput};
-use larkspring::{exec, stop};
+use larkspring::{exec, signals};
 
 use crate::args::ProcessArgs;
 use crate::AnyError;
@@ -35,7 +35,7 @@
 
 /// Waits for the signal to stop, or forever if signals can't be received.
 pub async fn wait_for_stop() {
-    if stop::wait_for_stop_signal().await.is_err() {
+    if signals::wait_for_stop_signal().await.is_err() {
         std::future::pending::<()>().await;
     }
 }
--- a/crates/larkspring-cli/src/quarantine.rs
+++ b/crates/larkspring-cli/src/quarantine.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use larkspring::direct::edge::QuarantineStore;
+use larkspring::direct::platform_api::QuarantineStore;
 use larkspring::exec;
 use larkspring_core::ids::ContentHash;
 use larkspring_platform::store::Store;
--- a/crates/larkspring-core/src/slots.rs
+++ b/crates/larkspring-core/src/engine_scheduler.rs
@@ -18,7 +18,7 @@
 use self::refuse::{draining_refusal, unreachable_refusal};
 use self::residency::{Phase, Residency, UseCount};
 use self::window::FetchWindow;
-use crate::fleet::copies::HostCopies;
+use crate::fleet::host_copies::HostCopies;
 use crate::ids::{AttemptId, Incarnation, Target, TargetHash};
 use crate::outcome::{Refusal, Step};
 
--- a/crates/larkspring-core/src/slots/order.rs
+++ b/crates/larkspring-core/src/engine_scheduler/order.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use super::{EngineScheduler, QueuedRequest};
-use crate::fleet::worth;
+use crate::fleet::utility;
 use crate::ids::{AttemptId, Target};
 
 /// The requests that wait for one adapter, combined.
@@ -62,5 +62,5 @@
 
 fn utility_at(req: &QueuedRequest, now: Instant) -> f64 {
     let in_time = now + MIN_LOAD_TIME <= req.soft_deadline;
-    req.utility * if in_time { 1.0 } else { worth::LATE_FACTOR }
+    req.utility * if in_time { 1.0 } else { utility::LATE_FACTOR }
 }
--- a/crates/larkspring-core/src/fleet/choose.rs
+++ b/crates/larkspring-core/src/fleet/choose.rs
@@ -9,7 +9,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::mechanisms::{DisabledMechanisms, Mechanism};
-use super::reading::PREFILL_TOKENS_PER_MS;
+use super::prefill::PREFILL_TOKENS_PER_MS;
 use crate::ids::{Incarnation, TargetHash};
 
 /// The state of one endpoint, as an entry knows it when it places a request.
--- a/crates/larkspring-core/src/fleet/urgency.rs
+++ b/crates/larkspring-core/src/fleet/urgency.rs
@@ -8,7 +8,7 @@
 
 use std::time::Duration;
 
-use super::reading::PREFILL_TOKENS_PER_MS;
+use super::prefill::PREFILL_TOKENS_PER_MS;
 
 /// Prefill priority of a prompt; 0 is the most urgent.
 pub type Urgency = u32;
--- a/crates/larkspring-core/src/limits/home.rs
+++ b/crates/larkspring-core/src/limits/bucket_owner.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use super::presence::ServingTime;
+use super::serving_time::ServingTime;
 use super::{BucketParams, LimitTolerance};
 use crate::fleet::routes::RoutingVersion;
 use crate::ids::WorkspaceHash;
--- a/crates/larkspring-core/src/limits/mod.rs
+++ b/crates/larkspring-core/src/limits/mod.rs
@@ -3,9 +3,9 @@
 //! One process, the bucket owner, holds a bucket for each workspace. Entries reserve
 //! units at the bucket owner ahead of use and admit requests from their reservations.
 //!
-//! 1. [`account`]: the reservations of an entry, and the requests that wait for units.
-//! 2. [`presence`]: the serving time that an entry reports with each request for units.
-//! 3. [`home`]: the buckets, and the units granted for each request.
+//! 1. [`reservations`]: the reservations of an entry, and the requests that wait for units.
+//! 2. [`serving_time`]: the serving time that an entry reports with each request for units.
+//! 3. [`bucket_owner`]: the buckets, and the units granted for each request.
 //!
 //! # Bound
 //!
@@ -25,11 +25,11 @@
 //!   granted, and settle them with the next request for units.
 //!
 //! A change of the bucket owner, or two bucket owners at once because entries reach
-//! different processes, costs no slack: see [`presence`].
+//! different processes, costs no slack: see [`serving_time`].
 
-pub mod account;
-pub mod home;
-pub mod presence;
+pub mod bucket_owner;
+pub mod reservations;
+pub mod serving_time;
 
 use std::time::Duration;
 
--- a/crates/larkspring-core/src/limits/account.rs
+++ b/crates/larkspring-core/src/limits/reservations.rs
@@ -5,7 +5,7 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::home::{Grant, RequestedUnits};
+use super::bucket_owner::{Grant, RequestedUnits};
 use super::{BucketParams, LimitTolerance};
 use crate::fleet::routes::RoutingVersion;
 use crate::ids::{WorkspaceHash, WorkspaceId};
--- a/crates/larkspring-core/tests/budget.rs
+++ b/crates/larkspring-core/tests/budget.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use larkspring_core::budget::{LoadBudget, LoadBudgetLimits};
+use larkspring_core::load_budget::{LoadBudget, LoadBudgetLimits};
 
 const SECOND: Duration = Duration::from_secs(1);
 
--- a/crates/larkspring-core/tests/call_time.rs
+++ b/crates/larkspring-core/tests/call_time.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use larkspring_core::call_time::{CallTimeout, TimeoutBounds};
+use larkspring_core::call_timeout::{CallTimeout, TimeoutBounds};
 
 const BOUNDS: TimeoutBounds = TimeoutBounds {
     shortest: Duration::from_millis(30),
--- a/crates/larkspring-core/tests/fleet_choose.rs
+++ b/crates/larkspring-core/tests/fleet_choose.rs
@@ -6,10 +6,10 @@
     choose_any, choose_for_adapter, rank_endpoints, should_load_in_hall, AdapterLocation,
     EndpointView,
 };
-use larkspring_core::fleet::copies::HostCopies;
-use larkspring_core::fleet::demand::RequestRates;
+use larkspring_core::fleet::host_copies::HostCopies;
 use larkspring_core::fleet::mechanisms::{DisabledMechanisms, Mechanism};
 use larkspring_core::fleet::quality::EndpointQuality;
+use larkspring_core::fleet::request_rates::RequestRates;
 use larkspring_core::ids::{AdapterId, Incarnation};
 
 const RESIDENT: EndpointView = EndpointView {
--- a/crates/larkspring-core/tests/fleet_members.rs
+++ b/crates/larkspring-core/tests/fleet_members.rs
@@ -3,7 +3,9 @@
 use std::time::{Duration, Instant};
 
 use fastrand::Rng;
-use larkspring_core::fleet::members::{Endpoint, EndpointList, EXPIRED_LEASE_GRACE};
+use larkspring_core::fleet::endpoint_list::{
+    Endpoint, EndpointList, EXPIRED_LEASE_GRACE,
+};
 use larkspring_core::ids::{StartMs, StorePoint};
 
 fn endpoint(id: &str, leaving: bool) -> Endpoint {
--- a/crates/larkspring-core/tests/fleet_reading.rs
+++ b/crates/larkspring-core/tests/fleet_reading.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use larkspring_core::fleet::reading::PrefillBacklog;
+use larkspring_core::fleet::prefill::PrefillBacklog;
 
 struct Case {
     name: &'static str,
--- a/crates/larkspring-core/tests/fleet_reads.rs
+++ b/crates/larkspring-core/tests/fleet_reads.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use fastrand::Rng;
-use larkspring_core::fleet::reads::{
+use larkspring_core::fleet::read_timing::{
     AgentReadTiming, ChangeFrequency, StoreReadTiming, MAX_AGENTS_PER_READ,
 };
 
--- a/crates/larkspring-core/tests/limited/mod.rs
+++ b/crates/larkspring-core/tests/limited/mod.rs
@@ -10,9 +10,11 @@
 use std::time::{Duration, Instant};
 
 use fastrand::Rng;
-use larkspring_core::limits::account::{LimitDecision, WorkspaceReservations};
-use larkspring_core::limits::home::{BucketOwner, Grant, RequestedUnits, UnitsRequest};
-use larkspring_core::limits::presence::{ServingTime, ServingTimeTracker};
+use larkspring_core::limits::bucket_owner::{
+    BucketOwner, Grant, RequestedUnits, UnitsRequest,
+};
+use larkspring_core::limits::reservations::{LimitDecision, WorkspaceReservations};
+use larkspring_core::limits::serving_time::{ServingTime, ServingTimeTracker};
 use larkspring_core::limits::LimitTolerance;
 use larkspring_core::workspaces::{LimitUnit, Workspace, WorkspaceLimit};
 
--- a/crates/larkspring-core/tests/limits.rs
+++ b/crates/larkspring-core/tests/limits.rs
@@ -11,9 +11,9 @@
 
 use std::time::{Duration, Instant};
 
-use larkspring_core::limits::account::{LimitDecision, WorkspaceReservations};
-use larkspring_core::limits::home::{BucketOwner, UnitsRequest};
-use larkspring_core::limits::presence::ServingTime;
+use larkspring_core::limits::bucket_owner::{BucketOwner, UnitsRequest};
+use larkspring_core::limits::reservations::{LimitDecision, WorkspaceReservations};
+use larkspring_core::limits::serving_time::ServingTime;
 use larkspring_core::limits::LimitTolerance;
 use larkspring_core::workspaces::{LimitUnit, Workspace, WorkspaceLimit};
 use limited::{Allocation, Fault, Scenario};
--- a/crates/larkspring-core/tests/load/mod.rs
+++ b/crates/larkspring-core/tests/load/mod.rs
@@ -9,16 +9,16 @@
 use std::time::{Duration, Instant};
 
 use fastrand::Rng;
-use larkspring_core::call_time::{CallTimeout, TimeoutBounds};
+use larkspring_core::call_timeout::{CallTimeout, TimeoutBounds};
+use larkspring_core::engine_scheduler::{
+    Action, EngineLimits, EngineScheduler, EvictionPolicy, LoadOrder, QueuedRequest,
+};
 use larkspring_core::fleet::choose::{
     choose_for_adapter, rank_endpoints, AdapterLocation, EndpointView,
 };
-use larkspring_core::fleet::copies::HostCopies;
+use larkspring_core::fleet::host_copies::HostCopies;
 use larkspring_core::fleet::mechanisms::DisabledMechanisms;
 use larkspring_core::ids::{AttemptId, Incarnation, Target, TargetHash};
-use larkspring_core::slots::{
-    Action, EngineLimits, EngineScheduler, EvictionPolicy, LoadOrder, QueuedRequest,
-};
 
 /// Milliseconds since the start.
 pub type Ms = u64;
--- a/crates/larkspring-core/tests/load_copies.rs
+++ b/crates/larkspring-core/tests/load_copies.rs
@@ -5,7 +5,7 @@
 
 use fastrand::Rng;
 use larkspring_core::fleet::choose::should_load_in_hall;
-use larkspring_core::fleet::demand::RequestRates;
+use larkspring_core::fleet::request_rates::RequestRates;
 
 /// The largest known deployment: 13 entries in each of 5 halls, 713 requests a second for
 /// 24,000 adapters, distributed by Zipf's law with exponent 1.2.
--- a/crates/larkspring-core/tests/load_lost_orders.rs
+++ b/crates/larkspring-core/tests/load_lost_orders.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use larkspring_core::call_time::TimeoutBounds;
+use larkspring_core::call_timeout::TimeoutBounds;
 use load::{simulate, Outcome, Scene};
 
 /// The first seconds of a day on which engines leave 3 in 10 orders unanswered. Every
--- a/crates/larkspring-core/tests/slots.rs
+++ b/crates/larkspring-core/tests/slots.rs
@@ -2,12 +2,12 @@
 
 use std::time::{Duration, Instant};
 
-use larkspring_core::ids::{Incarnation, Target};
-use larkspring_core::outcome::{Outcome, Step};
-use larkspring_core::slots::{
+use larkspring_core::engine_scheduler::{
     Action, EngineLimits, EngineScheduler, EvictionPolicy, LoadOrder, QueuedRequest,
     ReportedAdapter,
 };
+use larkspring_core::ids::{Incarnation, Target};
+use larkspring_core::outcome::{Outcome, Step};
 
 const MINUTE: Duration = Duration::from_secs(60);
 const SETTLE: Duration = Duration::from_secs(3);
--- a/crates/larkspring-core/tests/slots_fresh.rs
+++ b/crates/larkspring-core/tests/slots_fresh.rs
@@ -4,10 +4,10 @@
 use std::time::{Duration, Instant};
 
 use fastrand::Rng;
-use larkspring_core::ids::{AttemptId, Incarnation, Target};
-use larkspring_core::slots::{
+use larkspring_core::engine_scheduler::{
     Action, EngineLimits, EngineScheduler, EvictionPolicy, LoadOrder, QueuedRequest,
 };
+use larkspring_core::ids::{AttemptId, Incarnation, Target};
 
 fn slots(adapter_slots: usize) -> EngineScheduler {
     EngineScheduler::new(EngineLimits {
--- a/crates/larkspring-core/tests/slots_loading.rs
+++ b/crates/larkspring-core/tests/slots_loading.rs
@@ -3,10 +3,10 @@
 
 use std::time::{Duration, Instant};
 
-use larkspring_core::ids::{AttemptId, Incarnation, Target};
-use larkspring_core::slots::{
+use larkspring_core::engine_scheduler::{
     Action, EngineLimits, EngineScheduler, EvictionPolicy, LoadOrder, QueuedRequest,
 };
+use larkspring_core::ids::{AttemptId, Incarnation, Target};
 
 const MAX_LOADING: usize = 4;
 
--- a/crates/larkspring-core/tests/slots_random.rs
+++ b/crates/larkspring-core/tests/slots_random.rs
@@ -4,11 +4,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-use larkspring_core::ids::{Incarnation, Target};
-use larkspring_core::slots::{
+use larkspring_core::engine_scheduler::{
     Action, EngineLimits, EngineScheduler, EvictionPolicy, LoadOrder, QueuedRequest,
     ReportedAdapter,
 };
+use larkspring_core::ids::{Incarnation, Target};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
--- a/crates/larkspring/src/agent/endpoint.rs
+++ b/crates/larkspring/src/agent/endpoint.rs
@@ -8,9 +8,11 @@
 
 use event_listener::Event;
 use larkspring_core::declared::Serves;
+use larkspring_core::engine_scheduler::{
+    Action, EngineScheduler, QueuedRequest, ReportedAdapter,
+};
 use larkspring_core::ids::{AttemptId, Incarnation, Target};
 use larkspring_core::outcome::Refusal;
-use larkspring_core::slots::{Action, EngineScheduler, QueuedRequest, ReportedAdapter};
 use larkspring_proto::agent::Hint;
 use parking_lot::Mutex;
 use smol::channel::{bounded, Receiver, Sender};
--- a/crates/larkspring/src/agent/load_permits.rs
+++ b/crates/larkspring/src/agent/load_permits.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use larkspring_core::budget::LoadBudgetLimits;
+use larkspring_core::load_budget::LoadBudgetLimits;
 use larkspring_proto::keys::KeyTable;
 use larkspring_proto::loads::loads_client::LoadsClient;
 use larkspring_proto::loads::{DoneRequest, PermitRequest};
--- a/crates/larkspring/src/agent/mod.rs
+++ b/crates/larkspring/src/agent/mod.rs
@@ -7,9 +7,9 @@
 mod backend;
 mod endpoint;
 pub mod fence;
-mod job;
 mod load_permits;
-mod poll;
+mod report_poll;
+mod request_handler;
 
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -17,7 +17,7 @@
 use std::time::Duration;
 
 use futures_lite::Stream;
-use larkspring_core::slots::{EngineLimits, LoadOrder};
+use larkspring_core::engine_scheduler::{EngineLimits, LoadOrder};
 use larkspring_proto::agent::agent_server::{Agent as AgentRpc, AgentServer};
 use larkspring_proto::agent::{DispatchDown, DispatchUp};
 use quick_error::quick_error;
@@ -28,8 +28,8 @@
 use self::endpoint::Endpoint;
 use self::fence::Fence;
 use self::load_permits::LoadPermits;
+use crate::distribution::StateDistributor;
 use crate::exec;
-use crate::follow::StateDistributor;
 use crate::in_force::InForce;
 use crate::platform::objects::HttpObjects;
 use crate::rpc::serve::serve;
@@ -85,7 +85,7 @@
         ));
         let follower = StateDistributor::new(in_force, &settings.platform, String::new());
         let follow = exec::spawn(async move { follower.run(|| false).await });
-        let polls = exec::spawn(poll::run(endpoint.clone()));
+        let polls = exec::spawn(report_poll::run(endpoint.clone()));
         let service = AgentServer::new(Service { endpoint: endpoint.clone() });
         let stopper = serve(listener, service);
         tracing::info!(%addr, endpoint = endpoint.name(), "agent started");
@@ -122,7 +122,7 @@
         req: Request<Streaming<DispatchUp>>,
     ) -> Result<Response<Self::DispatchStream>, Status> {
         let (tx, rx) = channel::bounded(MAX_QUEUED_MESSAGES);
-        let job = job::run(self.endpoint.clone(), req.into_inner(), tx);
+        let job = request_handler::run(self.endpoint.clone(), req.into_inner(), tx);
         exec::spawn(job).detach();
         Ok(Response::new(Box::pin(rx)))
     }
--- a/crates/larkspring/src/agent/job.rs
+++ b/crates/larkspring/src/agent/request_handler.rs
@@ -6,9 +6,9 @@
 use bytes::Bytes;
 use futures_lite::{AsyncReadExt, FutureExt, StreamExt};
 use http_types::{Body, Request, Response};
+use larkspring_core::engine_scheduler::QueuedRequest;
 use larkspring_core::ids::Target;
 use larkspring_core::outcome::{Refusal, Step};
-use larkspring_core::slots::QueuedRequest;
 use larkspring_proto::agent::{
     dispatch_down, dispatch_up, Begin, DispatchDown, DispatchUp, End, Start,
 };
@@ -21,12 +21,12 @@
     ADAPTER_HEADER, INCARNATION_HEADER, PRIORITY_HEADER, REQUEST_ID_HEADER,
 };
 use super::endpoint::{Endpoint, RequestSlot};
-use super::poll::SERVICE_VERSION;
+use super::report_poll::SERVICE_VERSION;
 use super::START_TIMEOUT;
+use crate::convert::refusal_to_wire;
 use crate::exec::{self, with_timeout};
 use crate::rpc::credit::{units, Credit, MAX_CHUNK_BYTES};
 use crate::telemetry::TraceParent;
-use crate::wire::refusal_to_wire;
 
 /// Sender of messages to the entry.
 pub type DownSender = Sender<Result<DispatchDown, Status>>;
--- a/crates/larkspring/src/direct/agent/controller.rs
+++ b/crates/larkspring/src/direct/agent/controller.rs
@@ -6,20 +6,20 @@
 use std::time::{Duration, Instant};
 
 use futures_lite::future;
+use larkspring_core::engine_scheduler::{
+    Action, EngineLimits, EngineScheduler, EvictionPolicy, LoadOrder, QueuedRequest,
+};
 use larkspring_core::fleet::availability::Notice;
 use larkspring_core::fleet::choose::should_load_in_hall;
-use larkspring_core::fleet::demand::RequestRates;
 use larkspring_core::fleet::mechanisms::Mechanism;
 use larkspring_core::fleet::permits::{self, PermitIssuer, PermitResponse};
+use larkspring_core::fleet::prefill::PrefillBacklog;
 use larkspring_core::fleet::rate::Rate;
-use larkspring_core::fleet::reading::PrefillBacklog;
+use larkspring_core::fleet::request_rates::RequestRates;
 use larkspring_core::ids::{AttemptId, HallId, Target, TargetHash};
-use larkspring_core::limits::home::{BucketOwner, UnitsRequest};
-use larkspring_core::limits::presence;
+use larkspring_core::limits::bucket_owner::{BucketOwner, UnitsRequest};
+use larkspring_core::limits::serving_time;
 use larkspring_core::outcome::Refusal;
-use larkspring_core::slots::{
-    Action, EngineLimits, EngineScheduler, EvictionPolicy, LoadOrder, QueuedRequest,
-};
 use larkspring_proto::residency as wire;
 use larkspring_proto::residency::from_agent::Kind as AgentMessage;
 use larkspring_proto::residency::from_entry::Kind as EntryMessage;
@@ -30,9 +30,9 @@
 use super::orders::Engine;
 use super::publish::{EngineState, LastUpdate, MIN_PUBLISH_INTERVAL, PUBLISH_INTERVAL};
 use crate::direct::cfg::AgentCfg;
-use crate::direct::edge::Change;
 use crate::direct::limits::{decode_unit_request, encode_grant};
 use crate::direct::logs::{self, LineKind};
+use crate::direct::platform_api::Change;
 use crate::direct::quarantine::{decode_crash, CrashReports};
 use crate::direct::stats::Stats;
 
@@ -303,7 +303,7 @@
     /// Answers a request for units, as the bucket owner.
     fn grant_units(&mut self, now: Instant, number: EntryNumber, req: &wire::Reserve) {
         let requests: Vec<_> = req.wants.iter().map(decode_unit_request).collect();
-        let told = presence::ServingTime {
+        let told = serving_time::ServingTime {
             elapsed: Duration::from_millis(req.told_ms),
             is_new_owner: req.joined,
         };
--- a/crates/larkspring/src/direct/agent/driver.rs
+++ b/crates/larkspring/src/direct/agent/driver.rs
@@ -7,16 +7,16 @@
 use bytes::Bytes;
 use futures_lite::future::poll_fn;
 use http::{Request, Response};
-use larkspring_core::call_time::{CallTimeout, TimeoutBounds};
+use larkspring_core::call_timeout::{CallTimeout, TimeoutBounds};
 use larkspring_core::fleet::rate::AdvertisedRate;
 use larkspring_core::ids::Incarnation;
 use smol::channel::{self, Receiver, Sender};
 
 use super::controller::Event;
 use crate::direct::conn::EndpointConn;
-use crate::direct::edge::{Order, OrderOutcome, Protocol, Report};
+use crate::direct::platform_api::{Order, OrderOutcome, Protocol, Report};
 use crate::direct::stats::Stats;
-use crate::direct::unknown::NameSource;
+use crate::direct::unknown_names::NameSource;
 use crate::exec::{self, with_timeout};
 
 /// A command for the driver.
--- a/crates/larkspring/src/direct/agent/mod.rs
+++ b/crates/larkspring/src/direct/agent/mod.rs
@@ -29,11 +29,11 @@
 use self::controller::Controller;
 use self::state_cache::StateCache;
 use super::cfg::AgentCfg;
-use super::edge::{Protocol, QuarantineStore, StateStore};
 use super::entry::StartError;
+use super::platform_api::{Protocol, QuarantineStore, StateStore};
 use super::quarantine::CrashReports;
 use super::stats::Stats;
-use super::{logs, side};
+use super::{logs, status_server};
 use crate::exec;
 use crate::rpc::serve::ShutdownHandle;
 
@@ -73,7 +73,7 @@
             metrics_state.write_metrics();
             (StatusCode::OK, metrics_stats.encode())
         };
-        let served = side::serve(metrics, Arc::new(handler)).await;
+        let served = status_server::serve(metrics, Arc::new(handler)).await;
         let served = served.map_err(|e| StartError::Listen("metrics", metrics, e))?;
         tracing::info!(
             event = "start",
--- a/crates/larkspring/src/direct/agent/orders.rs
+++ b/crates/larkspring/src/direct/agent/orders.rs
@@ -8,9 +8,9 @@
 
 use super::controller::{Controller, MAX_REPORT_FAILURES};
 use super::driver::Command;
-use crate::direct::edge::{Change, Order, OrderOutcome, Report};
 use crate::direct::logs::{self, LineKind};
-use crate::direct::unknown::NameSource;
+use crate::direct::platform_api::{Change, Order, OrderOutcome, Report};
+use crate::direct::unknown_names::NameSource;
 
 /// The engine's state as this agent knows it.
 #[derive(Default)]
--- a/crates/larkspring/src/direct/agent/publish.rs
+++ b/crates/larkspring/src/direct/agent/publish.rs
@@ -3,8 +3,8 @@
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
 
+use larkspring_core::fleet::prefill::PrefillBacklog;
 use larkspring_core::fleet::rate::Rate;
-use larkspring_core::fleet::reading::PrefillBacklog;
 use larkspring_core::ids::{HallId, Incarnation, Target, TargetHash};
 use larkspring_proto::residency::from_agent::Kind as AgentMessage;
 use larkspring_proto::residency::{self as wire, Engagement};
--- a/crates/larkspring/src/direct/agent/quarantine_sync.rs
+++ b/crates/larkspring/src/direct/agent/quarantine_sync.rs
@@ -22,8 +22,8 @@
 use smol::Timer;
 
 use super::controller::Event;
-use crate::direct::edge::QuarantineStore;
 use crate::direct::logs;
+use crate::direct::platform_api::QuarantineStore;
 use crate::direct::quarantine::CrashReports;
 use crate::platform::PlatformError;
 
--- a/crates/larkspring/src/direct/agent/state_cache.rs
+++ b/crates/larkspring/src/direct/agent/state_cache.rs
@@ -12,7 +12,7 @@
 
 use bytes::Bytes;
 use event_listener::Event;
-use larkspring_core::fleet::reads::StoreReadTiming;
+use larkspring_core::fleet::read_timing::StoreReadTiming;
 use larkspring_core::ids::StorePoint;
 use larkspring_proto::residency as wire;
 use parking_lot::Mutex;
@@ -20,10 +20,10 @@
 
 use crate::clock::BootInstant;
 use crate::direct::cfg::ProcessCfg;
-use crate::direct::edge::{
+use crate::direct::logs;
+use crate::direct::platform_api::{
     ChangeQuery, EncodedState, ReadOutcome, StateKind, StateQuery, StateStore,
 };
-use crate::direct::logs;
 use crate::direct::reader::StoreReader;
 use crate::direct::stats::Stats;
 use crate::exec::{self, with_timeout};
--- a/crates/larkspring/src/direct/cfg.rs
+++ b/crates/larkspring/src/direct/cfg.rs
@@ -7,12 +7,12 @@
 
 use larkspring_core::fleet::choose::PlacementPolicy;
 use larkspring_core::fleet::mechanisms::DisabledMechanisms;
-use larkspring_core::fleet::reads::ChangeFrequency;
+use larkspring_core::fleet::read_timing::ChangeFrequency;
 use larkspring_core::ids::{HallId, VmId};
 use larkspring_core::limits::LimitTolerance;
 use larkspring_core::retry::RetryTerms;
 
-use super::edge::StateKind;
+use super::platform_api::StateKind;
 
 /// Settings that every process has.
 #[derive(Debug, Clone)]
--- a/crates/larkspring/src/direct/entry/admit.rs
+++ b/crates/larkspring/src/direct/entry/admission.rs
@@ -4,14 +4,14 @@
 use std::time::Duration;
 
 use larkspring_core::fleet::routes::{Route, Routing};
-use larkspring_core::limits::account::LimitDecision;
+use larkspring_core::limits::reservations::LimitDecision;
 use larkspring_core::workspaces::{Credential, Workspace};
 
 use super::answer::ErrorReason;
-use super::limits::Limits;
+use super::workspace_limits::Limits;
 use super::EntryState;
-use crate::direct::edge::{CallerRequest, StateKind};
 use crate::direct::logs::{self, LineKind};
+use crate::direct::platform_api::{CallerRequest, StateKind};
 
 /// Units that a request took from its workspace's limit. They are returned on drop,
 /// unless the request may have run.
--- a/crates/larkspring/src/direct/entry/answer.rs
+++ b/crates/larkspring/src/direct/entry/answer.rs
@@ -11,8 +11,8 @@
 use quick_error::quick_error;
 use serde_json::json;
 
+use super::connections::ExchangeGuard;
 use super::relay::Relay;
-use super::serve::ExchangeGuard;
 use super::EntryState;
 
 /// The body of an answer to a caller.
--- a/crates/larkspring/src/direct/entry/attempt.rs
+++ b/crates/larkspring/src/direct/entry/attempt.rs
@@ -16,14 +16,14 @@
 use larkspring_core::fleet::urgency::{urgency, Urgency};
 use larkspring_core::ids::{Incarnation, Target};
 
-use super::job::RequestHandler;
 use super::link::Hold;
 use super::peer::{OpenRequest, Peer};
 use super::permits::Permit;
+use super::request_handler::RequestHandler;
 use super::view::SelectionInputs;
 use crate::direct::conn::{EndpointConn, SendBody, SendError};
-use crate::direct::edge::{Echo, ForwardHeaders, Identity};
 use crate::direct::logs::{self, LineKind};
+use crate::direct::platform_api::{Echo, ForwardHeaders, Identity};
 
 /// The endpoint selected for a request, with the resources reserved there.
 pub(super) struct Selection {
--- a/crates/larkspring/src/direct/entry/serve.rs
+++ b/crates/larkspring/src/direct/entry/connections.rs
@@ -23,7 +23,7 @@
 use smol_hyper::rt::FuturesIo;
 
 use super::answer::AnswerBody;
-use super::job;
+use super::request_handler;
 use super::{EntryState, Shutdown};
 use crate::direct::logs::{self, LineKind};
 use crate::exec;
@@ -94,7 +94,7 @@
         request_phase.set(SERVING);
         let done = ExchangeGuard(request_phase.clone());
         let entry = served.clone();
-        async move { Ok::<_, Infallible>(job::serve(entry, req, done).await) }
+        async move { Ok::<_, Infallible>(request_handler::serve(entry, req, done).await) }
     });
     let bounds = bounds(&entry);
     let conn = Builder::new()
--- a/crates/larkspring/src/direct/entry/directory.rs
+++ b/crates/larkspring/src/direct/entry/directory.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use larkspring_core::fleet::choose::rank_endpoints;
-use larkspring_core::fleet::reads::{
+use larkspring_core::fleet::read_timing::{
     AgentReadTiming, StoreReadTiming, MAX_AGENTS_PER_READ,
 };
 use larkspring_core::ids::{HallId, Incarnation, StorePoint};
@@ -19,11 +19,11 @@
 use super::peer::Peer;
 use crate::clock::BootInstant;
 use crate::direct::cfg::ProcessCfg;
-use crate::direct::edge::{
+use crate::direct::logs;
+use crate::direct::platform_api::{
     ChangeQuery, DecodedState, EncodedState, ReadOutcome, ReadSource, StateKind,
     StateQuery, StateStore,
 };
-use crate::direct::logs;
 use crate::direct::reader::StoreReader;
 use crate::exec::with_timeout;
 use crate::platform::{PlatformError, PlatformFuture};
--- a/crates/larkspring/src/direct/entry/known.rs
+++ b/crates/larkspring/src/direct/entry/engine_state.rs
@@ -4,9 +4,9 @@
 use std::time::Instant;
 
 use larkspring_core::fleet::choose::AdapterLocation;
-use larkspring_core::fleet::copies::HostCopies;
+use larkspring_core::fleet::host_copies::HostCopies;
+use larkspring_core::fleet::prefill::PrefillBacklog;
 use larkspring_core::fleet::rate::{AdvertisedRate, Rate};
-use larkspring_core::fleet::reading::PrefillBacklog;
 use larkspring_core::ids::{Incarnation, TargetHash};
 use larkspring_proto::residency::{self as wire, Engagement};
 
--- a/crates/larkspring/src/direct/entry/fleet.rs
+++ b/crates/larkspring/src/direct/entry/fleet.rs
@@ -10,7 +10,7 @@
 use futures_lite::future;
 use larkspring_core::fleet::availability::{Availability, AvailabilityChanges, Notice};
 use larkspring_core::fleet::choose::rendezvous_weight;
-use larkspring_core::fleet::members::Endpoint;
+use larkspring_core::fleet::endpoint_list::Endpoint;
 use larkspring_core::fleet::permits::RunHash;
 use larkspring_core::ids::{HallId, Incarnation, ServiceId, StorePoint};
 use parking_lot::Mutex;
@@ -18,8 +18,8 @@
 
 use super::link::{engine_declaration, EntryIdentity, Link, LinkEvents, MessageSinks};
 use super::peer::Peer;
-use crate::direct::beliefs::ReplicatedState;
 use crate::direct::logs::{self, LineKind};
+use crate::direct::replicated_state::ReplicatedState;
 use crate::exec;
 
 /// The endpoints of all services, and the connections to the agents beside them.
--- a/crates/larkspring/src/direct/entry/link.rs
+++ b/crates/larkspring/src/direct/entry/link.rs
@@ -16,7 +16,7 @@
 use larkspring_core::fleet::rate::AdvertisedRate;
 use larkspring_core::fleet::routes::Routing;
 use larkspring_core::ids::{HallId, Incarnation, ServiceId, TargetHash, VmId};
-use larkspring_core::limits::home::{Grant, UnitsRequest};
+use larkspring_core::limits::bucket_owner::{Grant, UnitsRequest};
 use larkspring_core::retry::backoff;
 use larkspring_proto::residency as wire;
 use larkspring_proto::residency::from_agent::Kind as FromAgentKind;
@@ -29,7 +29,7 @@
 
 use self::hold::HoldRecord;
 pub(super) use self::hold::{Hold, HoldEnd, HoldRequest};
-use super::known::{EngineState, EngineView, ReportedRun};
+use super::engine_state::{EngineState, EngineView, ReportedRun};
 use crate::direct::limits::{decode_grant, encode_unit_request};
 use crate::direct::logs;
 use crate::direct::quarantine::CrashReports;
--- a/crates/larkspring/src/direct/entry/link/hold.rs
+++ b/crates/larkspring/src/direct/entry/link/hold.rs
@@ -31,7 +31,7 @@
     pub request_id: &'a str,
     /// Prompt tokens of the request that need a prefill.
     pub unread_tokens: u32,
-    /// Utility of an answer in time, by [`worth`](larkspring_core::fleet::worth).
+    /// Utility of an answer in time, by [`utility`](larkspring_core::fleet::utility).
     pub utility: f64,
     /// Load time within which the answer can still begin within the latency objective.
     pub load_time_limit: Duration,
--- a/crates/larkspring/src/direct/entry/log.rs
+++ b/crates/larkspring/src/direct/entry/log.rs
@@ -5,11 +5,11 @@
 use larkspring_core::ids::{ContentHash, Incarnation};
 
 use super::answer::ErrorReason;
-use super::job::RequestHandler;
+use super::request_handler::RequestHandler;
 use super::view::SelectionInputs;
 use super::EntryState;
-use crate::direct::edge::{CallerRequest, StateKind};
 use crate::direct::logs::{self, LineKind};
+use crate::direct::platform_api::{CallerRequest, StateKind};
 
 /// Logs a request that larkspring answered itself.
 pub(super) fn log_refused(
--- a/crates/larkspring/src/direct/entry/mod.rs
+++ b/crates/larkspring/src/direct/entry/mod.rs
@@ -1,36 +1,36 @@
 //! The entry: the process that callers connect to. It forwards requests directly to
 //! endpoints.
 //!
-//! 1. [`serve`]: caller connections, their limits and shutdown.
-//! 2. [`job`]: handling of one request; [`admit`] authenticates its caller, [`limits`]
+//! 1. [`connections`]: caller connections, their limits and shutdown.
+//! 2. [`request_handler`]: handling of one request; [`admission`] authenticates its caller, [`workspace_limits`]
 //!    enforces the limit of its workspace.
-//! 3. [`place`]: endpoint selection and the wait for the request's adapter.
+//! 3. [`select`]: endpoint selection and the wait for the request's adapter.
 //! 4. [`attempt`]: sending to an endpoint and classification of the answer by its head.
 //! 5. [`relay`]: the answer's body; an interrupted stream is resumed at another endpoint.
 //! 6. [`notices`]: notices about endpoints in the headers of their answers.
 //! 7. [`permits`]: permits to send to rate-limited endpoints.
-//! 8. [`ends`]: detection of endpoint crashes and of the requests that cause them.
+//! 8. [`crashes`]: detection of endpoint crashes and of the requests that cause them.
 
-mod admit;
+mod admission;
 mod answer;
 mod attempt;
 mod body;
+mod connections;
+mod crashes;
 mod directory;
-mod ends;
-mod events;
+mod engine_state;
+mod event_splitter;
 mod fleet;
-mod job;
-mod known;
-mod limits;
 mod link;
 mod log;
 mod notices;
 mod peer;
 mod permits;
-mod place;
 mod relay;
-mod serve;
+mod request_handler;
+mod select;
 mod view;
+mod workspace_limits;
 
 use std::collections::HashMap;
 use std::io;
@@ -50,19 +50,19 @@
 use smol::net::TcpListener;
 use smol::{channel, Task, Timer};
 
+use self::crashes::CrashDetector;
 use self::directory::HallDirectory;
-use self::ends::CrashDetector;
 use self::fleet::Fleet;
-use self::limits::Limits;
 use self::link::{EntryIdentity, MessageSinks};
 use self::permits::Permits;
-use super::beliefs::ReplicatedState;
+use self::workspace_limits::Limits;
 use super::cfg::EntryCfg;
-use super::edge::{Protocol, StateKind, StateStore};
+use super::platform_api::{Protocol, StateKind, StateStore};
 use super::quarantine::CrashReports;
 use super::reader::StoreReader;
+use super::replicated_state::ReplicatedState;
 use super::stats::Stats;
-use super::{logs, side, watch};
+use super::{logs, status_server, watch};
 use crate::exec;
 
 quick_error! {
@@ -182,13 +182,13 @@
         tasks.push(exec::spawn(logs::log_dropped_lines()));
         let ready = inner.clone();
         let answer = move |_: &str| (ready.readiness(), Vec::new());
-        let served = side::serve(readiness, Arc::new(answer)).await;
+        let served = status_server::serve(readiness, Arc::new(answer)).await;
         tasks.push(served.map_err(|e| StartError::Listen("readiness", readiness, e))?);
         let metered = inner.clone();
         let answer = move |_: &str| (StatusCode::OK, metered.metrics());
-        let served = side::serve(metrics, Arc::new(answer)).await;
+        let served = status_server::serve(metrics, Arc::new(answer)).await;
         tasks.push(served.map_err(|e| StartError::Listen("metrics", metrics, e))?);
-        tasks.push(exec::spawn(serve::accept(listener, inner.clone())));
+        tasks.push(exec::spawn(connections::accept(listener, inner.clone())));
         tracing::info!(
             event = "start",
             process = "entry",
--- a/crates/larkspring/src/direct/entry/notices.rs
+++ b/crates/larkspring/src/direct/entry/notices.rs
@@ -6,10 +6,10 @@
 use http::response::Parts;
 
 use super::fleet::NoticeSource;
-use super::job::RequestHandler;
 use super::peer::Peer;
-use crate::direct::edge::{AnswerHead, Echo};
-use crate::direct::unknown::NameSource;
+use super::request_handler::RequestHandler;
+use crate::direct::platform_api::{AnswerHead, Echo};
+use crate::direct::unknown_names::NameSource;
 
 impl RequestHandler {
     /// Applies the notice in an answer's headers to the endpoint.
--- a/crates/larkspring/src/direct/entry/peer.rs
+++ b/crates/larkspring/src/direct/entry/peer.rs
@@ -9,16 +9,16 @@
 
 use arc_swap::ArcSwap;
 use larkspring_core::fleet::availability::{Availability, AvailabilityChanges, Notice};
-use larkspring_core::fleet::members::Endpoint;
+use larkspring_core::fleet::endpoint_list::Endpoint;
 use larkspring_core::fleet::quality::EndpointQuality;
 use larkspring_core::fleet::rate::{AdvertisedRate, RateLimit};
 use larkspring_core::ids::{ContentHash, TargetHash};
 use parking_lot::Mutex;
 
-use super::known::ReportedRun;
+use super::engine_state::ReportedRun;
 use super::link::Link;
 use crate::direct::conn::EndpointConn;
-use crate::direct::edge::{ModelRequest, PromptPart, RequestId};
+use crate::direct::platform_api::{ModelRequest, PromptPart, RequestId};
 
 /// An endpoint and this entry's state for it.
 pub(super) struct Peer {
--- a/crates/larkspring/src/direct/entry/relay.rs
+++ b/crates/larkspring/src/direct/entry/relay.rs
@@ -19,9 +19,9 @@
 
 use super::answer::RelayError;
 use super::attempt::OpenAnswer;
-use super::ends::CrashDetector;
-use super::events::EventSplitter;
-use super::job::RequestHandler;
+use super::crashes::CrashDetector;
+use super::event_splitter::EventSplitter;
+use super::request_handler::RequestHandler;
 use super::EntryState;
 use crate::direct::conn::error_with_source;
 use crate::direct::logs::{self, LineKind};
--- a/crates/larkspring/src/direct/entry/job.rs
+++ b/crates/larkspring/src/direct/entry/request_handler.rs
@@ -16,19 +16,19 @@
 use larkspring_core::ids::{ContentHash, Incarnation};
 use larkspring_core::workspaces::Workspace;
 
-use super::admit::Charge;
+use super::admission::Charge;
 use super::answer::{close_if_draining, own_answer, AnswerBody, ErrorReason};
 use super::attempt::{AttemptOutcome, EndpointAnswer};
 use super::body::{discard, read_body, request_fingerprint, RequestBody};
+use super::connections::ExchangeGuard;
 use super::log::{log_answered, log_refused};
 use super::peer::Peer;
 use super::relay::Relay;
-use super::serve::ExchangeGuard;
 use super::view::SelectionInputs;
 use super::EntryState;
 use crate::direct::conn::SendBody;
-use crate::direct::edge::CallerRequest;
 use crate::direct::logs::{self, LineKind};
+use crate::direct::platform_api::CallerRequest;
 use crate::exec::{self, with_timeout};
 
 /// A request that is being served.
--- a/crates/larkspring/src/direct/entry/place.rs
+++ b/crates/larkspring/src/direct/entry/select.rs
@@ -9,21 +9,21 @@
     EndpointView, PlacementPolicy,
 };
 use larkspring_core::fleet::mechanisms::Mechanism;
-use larkspring_core::fleet::reading::prefill_time;
+use larkspring_core::fleet::prefill::prefill_time;
 use larkspring_core::fleet::routes::EngineCapacity;
-use larkspring_core::fleet::worth;
+use larkspring_core::fleet::utility;
 use larkspring_core::ids::{AdapterId, Incarnation, Target, VersionId};
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::answer::{retry_after_backoff, ErrorReason};
 use super::attempt::Selection;
-use super::job::RequestHandler;
 use super::link::{HoldEnd, HoldRequest};
 use super::peer::Peer;
 use super::permits::{Permit, PermitOutcome};
+use super::request_handler::RequestHandler;
 use super::view::{holding_name, SelectionInputs};
-use crate::direct::edge::ModelRequest;
 use crate::direct::logs::{self, LineKind};
+use crate::direct::platform_api::ModelRequest;
 use crate::exec::with_timeout;
 
 /// The reason why no endpoint was selected, and when the caller may retry.
@@ -306,8 +306,8 @@
     /// Returns the utility of an answer in time, relative to other requests.
     fn utility(&self, model: &ModelRequest) -> f64 {
         match self.entry.cfg().disabled_mechanisms.is_enabled(Mechanism::UtilityBySize) {
-            true => worth::of_prompt(model.prompt_tokens),
-            false => worth::of_prompt(0),
+            true => utility::of_prompt(model.prompt_tokens),
+            false => utility::of_prompt(0),
         }
     }
 
@@ -465,7 +465,7 @@
             wait: PRELOAD_TIMEOUT,
             request_id: "",
             unread_tokens: 0,
-            utility: worth::LOAD_AHEAD_UTILITY,
+            utility: utility::LOAD_AHEAD_UTILITY,
             load_time_limit: PRELOAD_TIMEOUT,
         };
         let mut hold = link.request_hold(target.clone(), request);
--- a/crates/larkspring/src/direct/entry/view.rs
+++ b/crates/larkspring/src/direct/entry/view.rs
@@ -9,9 +9,9 @@
 use larkspring_core::ids::{Incarnation, TargetHash};
 use larkspring_proto::residency::Engagement;
 
-use super::job::RequestHandler;
 use super::peer::Peer;
-use crate::direct::edge::ModelRequest;
+use super::request_handler::RequestHandler;
+use crate::direct::platform_api::ModelRequest;
 
 impl RequestHandler {
     /// Returns the view of an endpoint of a plain service.
--- a/crates/larkspring/src/direct/entry/limits.rs
+++ b/crates/larkspring/src/direct/entry/workspace_limits.rs
@@ -15,9 +15,11 @@
 use larkspring_core::fleet::choose::rank_endpoints;
 use larkspring_core::fleet::routes::RoutingVersion;
 use larkspring_core::ids::{WorkspaceHash, WorkspaceId};
-use larkspring_core::limits::account::{LimitDecision, WorkspaceReservations};
-use larkspring_core::limits::home::{BucketOwner, Grant, RequestedUnits, UnitsRequest};
-use larkspring_core::limits::presence::{ServingTime, ServingTimeTracker};
+use larkspring_core::limits::bucket_owner::{
+    BucketOwner, Grant, RequestedUnits, UnitsRequest,
+};
+use larkspring_core::limits::reservations::{LimitDecision, WorkspaceReservations};
+use larkspring_core::limits::serving_time::{ServingTime, ServingTimeTracker};
 use larkspring_core::limits::LimitTolerance;
 use larkspring_core::workspaces::Workspace;
 use parking_lot::Mutex;
@@ -26,8 +28,8 @@
 
 use super::fleet::Fleet;
 use super::link::Link;
-use crate::direct::beliefs::ReplicatedState;
 use crate::direct::logs;
+use crate::direct::replicated_state::ReplicatedState;
 
 /// The state of the workspaces' limits in an entry.
 pub(super) struct Limits {
--- a/crates/larkspring/src/direct/limits.rs
+++ b/crates/larkspring/src/direct/limits.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use larkspring_core::limits::home::{Grant, RequestedUnits};
+use larkspring_core::limits::bucket_owner::{Grant, RequestedUnits};
 use larkspring_proto::residency as wire;
 
 /// Encodes a request for units; needed units are rounded up.
--- a/crates/larkspring/src/direct/mod.rs
+++ b/crates/larkspring/src/direct/mod.rs
@@ -9,20 +9,20 @@
 //! 2. [`agent`]: loads the adapter that the request names and keeps it resident while the
 //!    request runs.
 //!
-//! [`watch`] follows the platform's declared state and applies it to [`beliefs`].
-//! [`edge`] holds all interfaces that an adapter for a platform has to implement.
+//! [`watch`] follows the platform's declared state and applies it to [`replicated_state`].
+//! [`platform_api`] holds all interfaces that an adapter for a platform has to implement.
 
 pub mod agent;
-pub mod beliefs;
 pub mod cfg;
 mod conn;
-pub mod edge;
 pub mod entry;
 mod limits;
 mod logs;
+pub mod platform_api;
 mod quarantine;
 mod reader;
-mod side;
+pub mod replicated_state;
 mod stats;
-mod unknown;
+mod status_server;
+mod unknown_names;
 pub mod watch;
--- a/crates/larkspring/src/direct/edge.rs
+++ b/crates/larkspring/src/direct/platform_api.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use http::{HeaderMap, Request, Response, StatusCode};
 use larkspring_core::fleet::availability::Notice;
-use larkspring_core::fleet::members::Endpoint;
+use larkspring_core::fleet::endpoint_list::Endpoint;
 use larkspring_core::fleet::routes::Routing;
 use larkspring_core::ids::{
     AdapterId, BaseId, ContentHash, Incarnation, StartMs, StoreEpoch, StorePoint, Target,
--- a/crates/larkspring/src/direct/reader.rs
+++ b/crates/larkspring/src/direct/reader.rs
@@ -3,13 +3,13 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use larkspring_core::fleet::reads::StoreReadTiming;
+use larkspring_core::fleet::read_timing::StoreReadTiming;
 use parking_lot::Mutex;
 
-use super::edge::{
+use super::logs::{self, LineKind};
+use super::platform_api::{
     DecodedState, EncodedState, ReadOutcome, StateKind, StateQuery, StateStore,
 };
-use super::logs::{self, LineKind};
 use super::stats::Stats;
 use crate::exec::with_timeout;
 use crate::platform::PlatformError;
--- a/crates/larkspring/src/direct/beliefs.rs
+++ b/crates/larkspring/src/direct/replicated_state.rs
@@ -6,15 +6,17 @@
 
 use arc_swap::{ArcSwap, ArcSwapOption};
 use event_listener::{Event, EventListener};
-use larkspring_core::fleet::members::{Endpoint, EndpointList, EXPIRED_LEASE_GRACE};
+use larkspring_core::fleet::endpoint_list::{
+    Endpoint, EndpointList, EXPIRED_LEASE_GRACE,
+};
 use larkspring_core::fleet::routes::Routing;
 use larkspring_core::fleet::versions::AdapterVersions;
 use larkspring_core::ids::{StorePoint, Target};
 use parking_lot::Mutex;
 use smol::Timer;
 
-use super::edge::{DecodedState, Item, StateKind};
 use super::logs::{self, LineKind};
+use super::platform_api::{DecodedState, Item, StateKind};
 use crate::clock::BootInstant;
 
 /// The replicated state, with its age.
--- a/crates/larkspring/src/direct/stats.rs
+++ b/crates/larkspring/src/direct/stats.rs
@@ -11,7 +11,7 @@
 };
 
 use super::logs;
-use super::unknown::{NameSource, UnknownNames};
+use super::unknown_names::{NameSource, UnknownNames};
 
 /// The metrics of one process.
 #[derive(Debug)]
--- a/crates/larkspring/src/direct/watch.rs
+++ b/crates/larkspring/src/direct/watch.rs
@@ -5,19 +5,19 @@
 
 use fastrand::Rng;
 use futures_lite::future;
-use larkspring_core::fleet::reads::{AgentReadTiming, StoreReadTiming};
+use larkspring_core::fleet::read_timing::{AgentReadTiming, StoreReadTiming};
 use larkspring_core::ids::StorePoint;
 use larkspring_core::retry::backoff;
 use smol::Timer;
 
-use super::beliefs::ReplicatedState;
 use super::cfg::ProcessCfg;
-use super::edge::{
+use super::logs::{self, LineKind};
+use super::platform_api::{
     ChangeQuery, EncodedState, ReadOutcome, ReadSource, StateKind, StateQuery, StateStore,
 };
-use super::logs::{self, LineKind};
+use super::replicated_state::ReplicatedState;
 use super::stats::Stats;
-use super::unknown::NameSource;
+use super::unknown_names::NameSource;
 use crate::exec::{self, with_timeout};
 use crate::platform::PlatformError;
 
--- a/crates/larkspring/src/entry/dispatch.rs
+++ b/crates/larkspring/src/entry/dispatch.rs
@@ -21,9 +21,9 @@
 
 use super::inbound::{Destination, Inbound};
 use super::EntryState;
+use crate::convert::{load_report_from_wire, refusal_from_wire};
 use crate::rpc::channel::nothing_sent;
 use crate::rpc::credit::INITIAL_UNITS;
-use crate::wire::{load_report_from_wire, refusal_from_wire};
 
 /// An answer whose head has arrived.
 pub struct StartedAnswer {
--- a/crates/larkspring/src/entry/loads.rs
+++ b/crates/larkspring/src/entry/loads.rs
@@ -6,7 +6,7 @@
 
 use event_listener::Event;
 use futures_lite::FutureExt;
-use larkspring_core::budget::{LoadBudget, LoadBudgetLimits, LoadId};
+use larkspring_core::load_budget::{LoadBudget, LoadBudgetLimits, LoadId};
 use larkspring_proto::loads::loads_server::Loads as LoadsRpc;
 use larkspring_proto::loads::{DoneReply, DoneRequest, PermitReply, PermitRequest};
 use parking_lot::Mutex;
--- a/crates/larkspring/src/entry/mod.rs
+++ b/crates/larkspring/src/entry/mod.rs
@@ -4,7 +4,6 @@
 //! state and by the load reports of agents, and relays the answer. The endpoint's agent
 //! decides whether the request runs.
 
-mod answer;
 mod at_most_once;
 mod dispatch;
 mod error_response;
@@ -13,6 +12,7 @@
 mod limits;
 mod loads;
 mod operator;
+mod relay;
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -25,8 +25,8 @@
 
 use http_types::{Body, Method, Request, Response};
 use hyper::body::Incoming;
-use larkspring_core::budget::LoadBudgetLimits;
 use larkspring_core::declared::Caller;
+use larkspring_core::load_budget::LoadBudgetLimits;
 use larkspring_core::outcome::{Refusal, Step};
 use larkspring_core::retry::RetryBudget;
 use larkspring_core::route::Router;
@@ -46,8 +46,8 @@
 use self::limits::{CallerLimits, Permit};
 use self::loads::LoadGranter;
 use crate::agent::StartError;
+use crate::distribution::{self, StateDistributor};
 use crate::exec;
-use crate::follow::{self, StateDistributor};
 use crate::http::bearer_key;
 use crate::http::head::HeadError;
 use crate::http::server::{serve, Handler, ServerLimits};
@@ -72,7 +72,7 @@
 /// Routes calls of other processes to the services of an entry, by path.
 #[derive(Clone)]
 struct ControlService {
-    config: ConfigServer<follow::DistributionService>,
+    config: ConfigServer<distribution::DistributionService>,
     keys: KeysServer<keys::KeyService>,
     loads: LoadsServer<loads::LoadGrantService>,
 }
@@ -150,7 +150,7 @@
         let follower =
             Arc::new(StateDistributor::new(in_force.clone(), &settings.platform, relay));
         let service = ControlService {
-            config: ConfigServer::new(follow::DistributionService {
+            config: ConfigServer::new(distribution::DistributionService {
                 follower: follower.clone(),
             }),
             keys: KeysServer::new(keys::KeyService { keys: keys.clone() }),
@@ -249,7 +249,7 @@
         )
     }
 
-    async fn answer(self: &Arc<Self>, req: Request) -> Result<Response, Refusal> {
+    async fn relay(self: &Arc<Self>, req: Request) -> Result<Response, Refusal> {
         if req.method() == Method::Get && req.url().path() == "/health" {
             return Ok(self.health());
         }
@@ -280,7 +280,7 @@
         let trace = inbound.trace.to_string();
         let mut res = match at_most_once::claim(&self.keys, &inbound, &attempt).await? {
             ClaimResult::Free => {
-                answer::respond(dispatch::run(self, inbound).await?, permit, None)
+                relay::respond(dispatch::run(self, inbound).await?, permit, None)
             }
             ClaimResult::Granted(claim) => {
                 self.serve_once(inbound, permit, claim).await?
@@ -305,7 +305,7 @@
             match dispatch::run(&entry, inbound).await {
                 Ok(begun) => {
                     claim.record_head(begun.begin.status, &begun.begin.content_type);
-                    Ok(answer::respond(begun, permit, Some(claim)))
+                    Ok(relay::respond(begun, permit, Some(claim)))
                 }
                 Err(refusal) => {
                     claim.settle_refused(&refusal).await;
@@ -357,7 +357,7 @@
     async fn handle(self: Arc<Self>, req: Request, _: SocketAddr) -> Response {
         let started = Instant::now();
         let parent = req.header("traceparent").map(|v| v.as_str().to_owned());
-        let res = match self.answer(req).await {
+        let res = match self.relay(req).await {
             Ok(res) => {
                 self.metrics.increment("answers", "outcome", "ok");
                 res
--- a/crates/larkspring/src/entry/answer.rs
+++ b/crates/larkspring/src/entry/relay.rs
@@ -18,9 +18,9 @@
 use super::dispatch::{AgentCall, StartedAnswer};
 use super::error_response;
 use super::limits::Permit;
+use crate::convert::refusal_from_wire;
 use crate::exec;
 use crate::rpc::credit::units;
-use crate::wire::refusal_from_wire;
 
 /// Header with the time in microseconds that the request waited for its adapter to load.
 const LOAD_WAIT_HEADER: &str = "larkspring-load-wait-us";
--- a/crates/larkspring/src/lib.rs
+++ b/crates/larkspring/src/lib.rs
@@ -13,16 +13,16 @@
 
 pub mod agent;
 pub mod clock;
+pub mod convert;
 pub mod direct;
+pub mod distribution;
 pub mod entry;
 pub mod exec;
-pub mod follow;
 pub mod http;
 pub mod in_force;
 pub mod operate;
 pub mod platform;
 pub mod rpc;
 pub mod settings;
-pub mod stop;
+pub mod signals;
 pub mod telemetry;
-pub mod wire;
--- a/crates/larkspring/src/settings.rs
+++ b/crates/larkspring/src/settings.rs
@@ -5,9 +5,9 @@
 use std::path::Path;
 use std::time::Duration;
 
-use larkspring_core::budget::LoadBudgetLimits;
+use larkspring_core::engine_scheduler::EvictionPolicy;
+use larkspring_core::load_budget::LoadBudgetLimits;
 use larkspring_core::route::RoutingPolicy;
-use larkspring_core::slots::EvictionPolicy;
 use larkspring_core::tenure::{TenureSettings, PARTITIONS};
 use larkspring_proto::settings as wire;
 use quick_error::quick_error;
--- a/crates/larkspring/tests/clock.rs
+++ b/crates/larkspring/tests/clock.rs
@@ -3,8 +3,8 @@
 use std::time::{Duration, Instant};
 
 use larkspring::clock::{advance, BootInstant};
-use larkspring::direct::beliefs::ReplicatedState;
-use larkspring::direct::edge::StateKind;
+use larkspring::direct::platform_api::StateKind;
+use larkspring::direct::replicated_state::ReplicatedState;
 
 /// Guards against an entry that keeps serving from its view of the keys after a suspension:
 /// the monotonic clock stops meanwhile, so the view would seem fresh, and keys removed during
