--- a/crates/larkspring/src/agent/endpoint.rs
+++ b/crates/larkspring/src/agent/endpoint.rs
@@ -285,7 +285,7 @@
         let same_run = run.as_deref() == Some(&*done.incarnation);
         let exact = done.adapter == target.to_string();
         if !exact {
-            tracing::error!(adapter = %target, got = done.adapter, "wrong adapter loaded");
+            tracing::error!(adapter = %target, got = done.adapter, "another was loaded");
         }
         exact && same_run
     }
--- a/crates/larkspring/src/direct/entry/directory.rs
+++ b/crates/larkspring/src/direct/entry/directory.rs
@@ -245,18 +245,15 @@
             return Err("it has not read the store yet".into());
         }
         if age > pace.max_age {
-            return Err(format!("the agent's state is {} ms old", age.as_millis()));
+            return Err(format!("its state is {} ms old", age.as_millis()));
         }
         let at = StorePoint::new(reply.epoch, reply.revision);
         if at.epoch() < known.epoch() {
-            return Err(format!("the agent's state is of epoch {}", at.epoch()));
+            return Err(format!("its state is of epoch {}", at.epoch()));
         }
         let proof_age = Duration::from_millis(reply.proof_age_ms);
         if self.is_proof_too_old(ask.kind, proof_age) {
-            return Err(format!(
-                "the agent's freshness proof is {} ms old",
-                proof_age.as_millis()
-            ));
+            return Err(format!("its proof is {} ms old", proof_age.as_millis()));
         }
         // The proof's age is as of the reply, which the agent made `held_ms` after it got
         // the request. Counted from the sending of the request, the proof is dated no
--- a/crates/larkspring/src/direct/entry/select.rs
+++ b/crates/larkspring/src/direct/entry/select.rs
@@ -290,7 +290,7 @@
                 return Err(Some((ErrorReason::NoAdapterInTime, Some(retry_after))));
             }
             Some(HoldEnd::Lost) => ("lost", "the agent is silent"),
-            None => ("late", "the agent did not grant the hold in time"),
+            None => ("late", "the agent did not grant it in time"),
         };
         self.entry.stats.count_hold(label);
         self.log_not_held(&peer, reason, took);
--- a/crates/larkspring/src/entry/keys/mod.rs
+++ b/crates/larkspring/src/entry/keys/mod.rs
@@ -184,7 +184,7 @@
         }
         // The holder treats the attempt as unknown once the attempt's deadline has
         // passed.
-        tracing::warn!("claim not settled: the holder of the key did not answer");
+        tracing::warn!("a claim could not be settled");
     }
 
     /// Decides on a claim, if this run holds the key's partition.
--- a/crates/larkspring/src/entry/keys/table.rs
+++ b/crates/larkspring/src/entry/keys/table.rs
@@ -53,7 +53,7 @@
             let pause = match self.step().await {
                 Ok(()) => STEP_INTERVAL,
                 Err(e) => {
-                    tracing::warn!(error = %e, "object API failed; key table not updated");
+                    tracing::warn!(error = %e, "the keys' table can't be followed");
                     FAILURE_PAUSE
                 }
             };
--- a/crates/larkspring/src/in_force.rs
+++ b/crates/larkspring/src/in_force.rs
@@ -98,7 +98,7 @@
                     failures = 0;
                 }
                 Err(e) => {
-                    tracing::warn!(error = %e, "declared state not read, keeping the last");
+                    tracing::warn!(error = %e, "the declared state can't be followed");
                     let mut rng = fastrand::Rng::new();
                     let wait = backoff(INITIAL_BACKOFF, MAX_BACKOFF, failures, &mut rng);
                     failures += 1;
