--- a/crates/larkspring-cli/src/platform.rs
+++ b/crates/larkspring-cli/src/platform.rs
@@ -28,14 +28,10 @@
 pub fn entry(args: &PlatformEntryArgs) -> Result<(), AnyError> {
     let settings = Settings::load()?;
     let placement = args.placement.into();
-    let without = args.process.without();
+    let disabled_mechanisms = args.process.without();
     let entry_cfg = |settings: &Settings| {
         let cfg = settings.entry()?;
-        Ok::<_, SettingsError>(EntryCfg {
-            placement,
-            disabled_mechanisms: without,
-            ..cfg
-        })
+        Ok::<_, SettingsError>(EntryCfg { placement, disabled_mechanisms, ..cfg })
     };
     let cfg = entry_cfg(&settings)?;
     let _log =
--- a/crates/larkspring-cli/tests/common/site.rs
+++ b/crates/larkspring-cli/tests/common/site.rs
@@ -253,7 +253,7 @@
         role: &'static str,
         name: &str,
         ip: String,
-        app: Option<String>,
+        worker: Option<String>,
     ) -> PlatformProcess {
         let store = match role {
             "platform-agent" => self.ways.agents,
@@ -264,7 +264,7 @@
             ip: ip.clone(),
             zone: "hall-a",
             store: store.to_string(),
-            worker: app,
+            worker,
             grace_s: self.shape.grace_s,
             revoke_ms: self.shape.revoke_ms,
         };
--- a/crates/larkspring-core/src/call_timeout.rs
+++ b/crates/larkspring-core/src/call_timeout.rs
@@ -42,10 +42,10 @@
     /// Returns the present time-out. The time-out doubles with each lost answer, so that
     /// answers of a peer which has become slower arrive in time again.
     pub fn current(&self) -> Duration {
-        let TimeoutBounds { shortest: least, longest: most } = self.bounds;
-        let Some((time, deviation)) = self.smoothed else { return most };
-        let limit = (time + deviation * ALLOWED_DEVIATIONS).max(least);
-        limit.saturating_mul(1 << self.losses.min(8)).min(most)
+        let TimeoutBounds { shortest, longest } = self.bounds;
+        let Some((time, deviation)) = self.smoothed else { return longest };
+        let limit = (time + deviation * ALLOWED_DEVIATIONS).max(shortest);
+        limit.saturating_mul(1 << self.losses.min(8)).min(longest)
     }
 
     /// Records an answer that arrived after `spent`.
--- a/crates/larkspring-core/src/fleet/availability.rs
+++ b/crates/larkspring-core/src/fleet/availability.rs
@@ -44,7 +44,7 @@
 pub struct AvailabilityChanges {
     /// The endpoint is now known to be draining.
     pub draining: bool,
-    /// The endpoint is now backing off.
+    /// The endpoint now asks for a backoff.
     pub backoff: bool,
     /// The advertised rate changed or was removed.
     pub rate: bool,
@@ -93,18 +93,18 @@
 impl Availability {
     /// Applies the notice of an answer of the run, and returns the changes.
     ///
-    /// `asked` is when the request was sent. `share`, from 0 to 1, is this VM's position
+    /// `sent_at` is when the request was sent. `share`, from 0 to 1, is this VM's position
     /// in the spread of VMs that return after a backoff. Each answer's backoff is
     /// independent: a shorter backoff, or none, does not end a longer one.
     pub fn apply_notice(
         &mut self,
         now: Instant,
-        asked: Instant,
+        sent_at: Instant,
         notice: Notice,
         share: f64,
     ) -> AvailabilityChanges {
         let before = *self;
-        self.rate = RateLimit::updated(self.rate, now, asked, notice.rate);
+        self.rate = RateLimit::updated(self.rate, now, sent_at, notice.rate);
         if notice.leaving {
             self.draining_since.get_or_insert(now);
         }
--- a/crates/larkspring-core/src/fleet/permits.rs
+++ b/crates/larkspring-core/src/fleet/permits.rs
@@ -136,9 +136,9 @@
 }
 
 impl Bucket {
-    fn take(&mut self, now: Instant, home: IssuerRole) -> PermitResponse {
+    fn take(&mut self, now: Instant, role: IssuerRole) -> PermitResponse {
         let advertised = self.rate.as_per_sec();
-        let (per_sec, bucket_size) = match home {
+        let (per_sec, bucket_size) = match role {
             IssuerRole::Primary => {
                 (advertised.max(MIN_PRIMARY_RATE_PER_SEC), PRIMARY_BUCKET_SIZE)
             }
--- a/crates/larkspring-core/src/fleet/rate.rs
+++ b/crates/larkspring-core/src/fleet/rate.rs
@@ -64,7 +64,7 @@
 
 impl RateLimit {
     /// Applies the rate header of an answer that arrives now, to a request sent at
-    /// `asked`.
+    /// `sent_at`.
     ///
     /// Answers on different connections may arrive out of order. An answer to a request
     /// sent before the rate was last advertised may be outdated: it lowers the rate, but
@@ -72,10 +72,10 @@
     pub fn updated(
         known: Option<Self>,
         now: Instant,
-        asked: Instant,
+        sent_at: Instant,
         word: AdvertisedRate,
     ) -> Option<Self> {
-        let newer = known.is_none_or(|known| asked > known.advertised_at);
+        let newer = known.is_none_or(|known| sent_at > known.advertised_at);
         match word {
             AdvertisedRate::Limit(rate) => {
                 let bound = known.filter(|known| !newer && known.ended_at.is_none());
--- a/crates/larkspring-core/src/limits/bucket_owner.rs
+++ b/crates/larkspring-core/src/limits/bucket_owner.rs
@@ -182,9 +182,9 @@
 
 impl Bucket {
     fn params(&self, terms: &LimitTolerance) -> BucketParams {
-        let (per_sec, burst) = (self.per_sec, self.burst);
+        let (units_per_sec, burst) = (self.per_sec, self.burst);
         terms.bucket_params(&WorkspaceLimit {
-            units_per_sec: per_sec,
+            units_per_sec,
             burst,
             unit: LimitUnit::Requests,
         })
--- a/crates/larkspring-core/src/limits/reservations.rs
+++ b/crates/larkspring-core/src/limits/reservations.rs
@@ -331,33 +331,34 @@
         &mut self,
         now: Instant,
         workspace: WorkspaceHash,
-        ask: u64,
+        sequence: u64,
     ) -> Option<RequestedUnits> {
         if self.outstanding.is_some() {
             return None;
         }
         self.drop_expired(now);
         let available = self.available(now);
-        let waiting: f64 = self.waiting.iter().map(|w| w.cost).sum();
-        let need = (waiting - available).max(0.0);
-        let first = self.waiting.front().map_or(0.0, |w| (w.cost - available).max(0.0));
-        let ahead = self.units_to_reserve(now);
-        let debt = self.overdraft;
-        if debt + need + ahead + self.expired == 0.0 {
+        let waiting_cost: f64 = self.waiting.iter().map(|w| w.cost).sum();
+        let waiting = (waiting_cost - available).max(0.0);
+        let first_waiting =
+            self.waiting.front().map_or(0.0, |w| (w.cost - available).max(0.0));
+        let reserve_ahead = self.units_to_reserve(now);
+        let overdraft = self.overdraft;
+        if overdraft + waiting + reserve_ahead + self.expired == 0.0 {
             return None;
         }
-        self.outstanding = Some(OutstandingRequest { number: ask, at: now });
-        let returned = std::mem::take(&mut self.expired);
-        let WorkspaceLimit { units_per_sec: per_sec, burst, .. } = self.limit;
+        self.outstanding = Some(OutstandingRequest { number: sequence, at: now });
+        let expired = std::mem::take(&mut self.expired);
+        let WorkspaceLimit { units_per_sec, burst, .. } = self.limit;
         Some(RequestedUnits {
             workspace,
-            sequence: ask,
-            overdraft: debt,
-            waiting: need,
-            first_waiting: first,
-            reserve_ahead: ahead,
-            expired: returned,
-            per_sec,
+            sequence,
+            overdraft,
+            waiting,
+            first_waiting,
+            reserve_ahead,
+            expired,
+            per_sec: units_per_sec,
             burst,
             version: self.version,
         })
--- a/crates/larkspring-core/src/limits/serving_time.rs
+++ b/crates/larkspring-core/src/limits/serving_time.rs
@@ -38,9 +38,9 @@
     pub fn record_request(&mut self, now: Instant, owner: H) -> ServingTime {
         let since = self.reported_at.replace(now);
         let time = since.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
-        let joined = self.owner.as_ref() != Some(&owner);
+        let is_new_owner = self.owner.as_ref() != Some(&owner);
         self.owner = Some(owner);
-        ServingTime { elapsed: time.min(MAX_REPORTED_TIME), is_new_owner: joined }
+        ServingTime { elapsed: time.min(MAX_REPORTED_TIME), is_new_owner }
     }
 }
 
--- a/crates/larkspring-core/src/quarantine.rs
+++ b/crates/larkspring-core/src/quarantine.rs
@@ -106,21 +106,22 @@
         content: ContentHash,
         end: Crash,
     ) -> Option<CrashReport> {
-        let Crash { attempt, sent_at: began, crashed_at: at } = end;
+        let Crash { attempt, sent_at, crashed_at } = end;
         self.evict_for(now, content);
-        let record = self.records.entry(content).or_insert_with(|| Record::new(at));
-        if record.is_before_clearing(at) || record.attempts.contains(&attempt) {
+        let record =
+            self.records.entry(content).or_insert_with(|| Record::new(crashed_at));
+        if record.is_before_clearing(crashed_at) || record.attempts.contains(&attempt) {
             return None;
         }
         if record.attempts.len() >= MAX_ATTEMPTS {
             record.attempts.remove(0);
         }
         record.attempts.push(attempt);
-        if record.crashes > 0 && began <= record.at {
+        if record.crashes > 0 && sent_at <= record.at {
             return None;
         }
         record.crashes += 1;
-        record.at = record.at.max(at);
+        record.at = record.at.max(crashed_at);
         (record.crashes >= NOTIFIED_FROM_CRASHES).then(|| record.report(now, content))
     }
 
@@ -167,9 +168,9 @@
         let reported = self.records.iter().filter(|(_, r)| {
             !r.is_expired(now) && (r.crashes == 0 || r.crashes >= NOTIFIED_FROM_CRASHES)
         });
-        let mut findings: Vec<_> = reported.map(|(c, r)| r.report(now, *c)).collect();
-        findings.sort_by_key(|f| (f.age, f.content));
-        findings
+        let mut reports: Vec<_> = reported.map(|(c, r)| r.report(now, *c)).collect();
+        reports.sort_by_key(|f| (f.age, f.content));
+        reports
     }
 
     /// Returns the refused fingerprints.
--- a/crates/larkspring-core/tests/fleet_routes.rs
+++ b/crates/larkspring-core/tests/fleet_routes.rs
@@ -84,10 +84,10 @@
 fn adapters_are_limited_by_memory_and_slots() {
     let model =
         |adapter_mb| BaseModel { name: "m".into(), weights_mb: 65_100.0, adapter_mb };
-    let engine = |memory_mb, adapter_places| EngineCapacity {
+    let engine = |memory_mb, adapter_slots| EngineCapacity {
         batch_slots: 1,
         memory_mb,
-        adapter_slots: adapter_places,
+        adapter_slots,
         models: Vec::new(),
     };
     let cases = [
--- a/crates/larkspring-core/tests/limited/mod.rs
+++ b/crates/larkspring-core/tests/limited/mod.rs
@@ -95,8 +95,17 @@
 const OWNER_RETRY_MS: u64 = 1000;
 
 enum Message {
-    Request { entry: usize, owner: usize, told: ServingTime, wants: Vec<RequestedUnits> },
-    Response { entry: usize, owner: usize, grants: Vec<Grant> },
+    Request {
+        entry: usize,
+        owner: usize,
+        serving_time: ServingTime,
+        wants: Vec<RequestedUnits>,
+    },
+    Response {
+        entry: usize,
+        owner: usize,
+        grants: Vec<Grant>,
+    },
 }
 
 struct Entry {
@@ -295,21 +304,20 @@
             self.entries[entry].next_poll = ms + POLL_INTERVAL_MS;
         }
         let owner = self.bucket_owner(ms, entry);
-        let told = self.entries[entry].serving_time.record_request(now, owner);
-        if told.is_new_owner {
+        let serving_time = self.entries[entry].serving_time.record_request(now, owner);
+        if serving_time.is_new_owner {
             self.entries[entry].reservations.record_owner_change();
         }
         let Some(owner) = owner else {
             let all = self.scenario.entries;
             let entry = &mut self.entries[entry];
-            let ask =
-                UnitsRequest { serving_time: told, entry_count: all, units: &wants };
+            let ask = UnitsRequest { serving_time, entry_count: all, units: &wants };
             let grants = entry.even_share.grant_units(now, &ask);
             let decided = entry.reservations.apply_grants(now, &grants);
             return self.decide(ms, decided);
         };
         self.results.messages += 1;
-        let message = Message::Request { entry, owner, told, wants };
+        let message = Message::Request { entry, owner, serving_time, wants };
         self.sent.push_back((ms + LATENCY_MS, message));
     }
 
@@ -327,14 +335,15 @@
                 continue;
             }
             match message {
-                Message::Request { entry, owner, told, wants } => {
+                Message::Request { entry, owner, serving_time, wants } => {
                     if self.is_frozen(ms, owner) {
-                        let delayed = Message::Request { entry, owner, told, wants };
+                        let delayed =
+                            Message::Request { entry, owner, serving_time, wants };
                         self.frozen[owner].push_back((ms, delayed));
                     } else if self.reaches(ms, entry, owner) {
                         let (now, all) = (self.at(ms), self.scenario.entries);
                         let ask = UnitsRequest {
-                            serving_time: told,
+                            serving_time,
                             entry_count: all,
                             units: &wants,
                         };
--- a/crates/larkspring-core/tests/limits.rs
+++ b/crates/larkspring-core/tests/limits.rs
@@ -150,11 +150,11 @@
         let entered = reservations.admit(now, &workspace, 1, 10.0, step);
         assert_eq!(entered, None, "step {step}: the request waits for its own units");
         let wants = reservations.units_to_request(now, false);
-        let time = if step == 0 { Duration::ZERO } else { STEP };
-        let told = ServingTime { elapsed: time, is_new_owner: step == 0 };
+        let elapsed = if step == 0 { Duration::ZERO } else { STEP };
+        let serving_time = ServingTime { elapsed, is_new_owner: step == 0 };
         let grants = owner.grant_units(
             now,
-            &UnitsRequest { serving_time: told, entry_count: 1, units: &wants },
+            &UnitsRequest { serving_time, entry_count: 1, units: &wants },
         );
         for (request, verdict) in reservations.apply_grants(now, &grants) {
             assert_eq!(request, step);
--- a/crates/larkspring-core/tests/load/mod.rs
+++ b/crates/larkspring-core/tests/load/mod.rs
@@ -294,7 +294,7 @@
 
     fn view(&self, target: TargetHash) -> EndpointView {
         let reported = &self.reported;
-        let holding = if reported.resident.contains(&target) {
+        let adapter_location = if reported.resident.contains(&target) {
             AdapterLocation::Resident
         } else if reported.loading.contains(&target) {
             AdapterLocation::Loading
@@ -305,7 +305,7 @@
         };
         EndpointView {
             same_hall: true,
-            adapter_location: holding,
+            adapter_location,
             running: reported.running,
             max_concurrent: BATCH_SLOTS,
             free_adapter_slots: reported.free_places,
--- a/crates/larkspring-core/tests/load_lost_orders.rs
+++ b/crates/larkspring-core/tests/load_lost_orders.rs
@@ -11,14 +11,14 @@
 /// adapter slot is empty, 9 requests a second arrive for each engine (712 for 74), and an
 /// order is answered within 2 ms if at all.
 fn scene(seed: u64, least: u64) -> Scene {
-    let most = Duration::from_millis(250);
+    let longest = Duration::from_millis(250);
     Scene {
         seed,
         engines: 20,
         rate: 180.0,
         length: 5_000,
         lost_orders: 0.3,
-        answer: TimeoutBounds { shortest: Duration::from_millis(least), longest: most },
+        answer: TimeoutBounds { shortest: Duration::from_millis(least), longest },
     }
 }
 
--- a/crates/larkspring-core/tests/permits.rs
+++ b/crates/larkspring-core/tests/permits.rs
@@ -84,11 +84,11 @@
             if rng.f64() >= chance || denied_until[entry] > ms {
                 continue;
             }
-            let ask = |home, rate| PermitQuery {
+            let ask = |issuer, rate| PermitQuery {
                 run: RUN,
                 rate: Rate::per_sec(rate).unwrap(),
                 age: Duration::ZERO,
-                issuer: home,
+                issuer,
             };
             let verdict = match limiter {
                 Limiter::Unlimited => PermitResponse::Granted,
--- a/crates/larkspring-core/tests/quarantine.rs
+++ b/crates/larkspring-core/tests/quarantine.rs
@@ -15,8 +15,8 @@
 /// Running time of a fatal request.
 const FATAL_RUN_TIME: Duration = Duration::from_millis(80);
 
-fn crash(run: u64, at: Instant, ran: Duration) -> Crash {
-    Crash { attempt: run, sent_at: at - ran, crashed_at: at }
+fn crash(run: u64, crashed_at: Instant, ran: Duration) -> Crash {
+    Crash { attempt: run, sent_at: crashed_at - ran, crashed_at }
 }
 
 /// An event on one request fingerprint.
@@ -181,8 +181,8 @@
                     quarantine.record_crash(now, CONTENT, crash(run, now, ran));
                 }
                 Answered => drop(quarantine.record_answer(now, CONTENT)),
-                Reported(ends, age) => {
-                    let report = CrashReport { content: CONTENT, crashes: ends, age };
+                Reported(crashes, age) => {
+                    let report = CrashReport { content: CONTENT, crashes, age };
                     quarantine.apply_report(now, &report);
                 }
                 Elapsed(time) => now += time,
--- a/crates/larkspring-core/tests/slots.rs
+++ b/crates/larkspring-core/tests/slots.rs
@@ -28,9 +28,9 @@
         agent
     }
 
-    fn unsettled(slots: usize, held: &[&str]) -> Self {
+    fn unsettled(adapter_slots: usize, held: &[&str]) -> Self {
         let limits = EngineLimits {
-            adapter_slots: slots,
+            adapter_slots,
             max_running: 2,
             max_waiting: 4,
             max_loading: 1,
--- a/crates/larkspring-core/tests/slots_fresh.rs
+++ b/crates/larkspring-core/tests/slots_fresh.rs
@@ -11,7 +11,7 @@
 
 fn slots(adapter_slots: usize) -> EngineScheduler {
     EngineScheduler::new(EngineLimits {
-        adapter_slots: adapter_slots,
+        adapter_slots,
         max_running: usize::MAX,
         max_waiting: 100,
         max_loading: 4,
--- a/crates/larkspring-core/tests/slots_loading.rs
+++ b/crates/larkspring-core/tests/slots_loading.rs
@@ -25,19 +25,19 @@
 fn slots(
     places: usize,
     max_loading: usize,
-    order: LoadOrder,
-    paced: bool,
+    load_order: LoadOrder,
+    limits_fetches: bool,
 ) -> EngineScheduler {
     EngineScheduler::new(EngineLimits {
         adapter_slots: places,
         max_running: usize::MAX,
         max_waiting: 1000,
         max_loading,
-        limits_fetches: paced,
+        limits_fetches,
         busy_eviction_delay: Duration::from_secs(1),
         initial_no_unload: Duration::ZERO,
         eviction: EvictionPolicy::LeastUsed,
-        load_order: order,
+        load_order,
     })
 }
 
--- a/crates/larkspring-core/tests/workspaces.rs
+++ b/crates/larkspring-core/tests/workspaces.rs
@@ -8,8 +8,8 @@
     Workspace { name: name.into(), priority: None, limit }
 }
 
-fn limit(per_sec: f64, burst: f64) -> Option<WorkspaceLimit> {
-    Some(WorkspaceLimit { units_per_sec: per_sec, burst, unit: LimitUnit::Requests })
+fn limit(units_per_sec: f64, burst: f64) -> Option<WorkspaceLimit> {
+    Some(WorkspaceLimit { units_per_sec, burst, unit: LimitUnit::Requests })
 }
 
 fn key(text: &str) -> ApiKeyHash {
--- a/crates/larkspring/src/agent/request_handler.rs
+++ b/crates/larkspring/src/agent/request_handler.rs
@@ -138,11 +138,11 @@
 
     async fn serve(&self, deadline: Instant) -> Result<(), Abort> {
         let target = self.target(deadline).await?;
-        let since = Instant::now();
+        let arrived_at = Instant::now();
         let waiting = QueuedRequest {
             target: target.clone(),
             priority: self.start.priority,
-            arrived_at: since,
+            arrived_at,
             deadline,
             soft_deadline: deadline,
             utility: 1.0,
@@ -153,7 +153,7 @@
             Ok(slot.wait_granted().await?)
         })
         .await?;
-        let load_wait = if slot.resident { Duration::ZERO } else { since.elapsed() };
+        let load_wait = if slot.resident { Duration::ZERO } else { arrived_at.elapsed() };
         // Boxed, so that the memory of this step is freed before the relay, the longest
         // step.
         let mut res = Box::pin(self.send(&mut slot, &target, deadline)).await?;
--- a/crates/larkspring/src/direct/agent/controller.rs
+++ b/crates/larkspring/src/direct/agent/controller.rs
@@ -89,7 +89,7 @@
     /// Permits for the runs of which this agent is the issuer.
     pub(super) permits: PermitIssuer,
     /// Crash reports known to this agent.
-    findings: Arc<CrashReports>,
+    crash_reports: Arc<CrashReports>,
     /// Requests that were running before this agent started, on adapters that the engine
     /// has not reported yet.
     pub(super) unreported_requests: Vec<(AttemptId, Target)>,
@@ -126,7 +126,7 @@
         cfg: &AgentCfg,
         commands: Sender<Command>,
         stats: Arc<Stats>,
-        findings: Arc<CrashReports>,
+        crash_reports: Arc<CrashReports>,
     ) -> Self {
         let now = Instant::now();
         let uses = |mechanism| cfg.disabled_mechanisms.is_enabled(mechanism);
@@ -174,7 +174,7 @@
             hall: cfg.process.hall.clone(),
             limits: BucketOwner::new(cfg.process.limits),
             permits: PermitIssuer::default(),
-            findings,
+            crash_reports,
             unreported_requests: Vec::new(),
         }
     }
@@ -229,7 +229,7 @@
                 self.handle_message(now, number, message)
             }
             Event::EntryDisconnected(number) => self.remove_entry(now, number),
-            Event::CrashReports(findings) => self.forward_crash_reports(findings),
+            Event::CrashReports(reports) => self.forward_crash_reports(reports),
             Event::EngineNotice { sent_at, notice } => {
                 self.apply_notice(now, sent_at, notice)
             }
@@ -258,8 +258,8 @@
                 if let Some(entry) = self.entries.get_mut(&number) {
                     entry.hall = hello.hall.as_str().into();
                 }
-                if let Some(findings) = self.findings.latest() {
-                    self.send(number, AgentMessage::Findings(findings));
+                if let Some(reports) = self.crash_reports.latest() {
+                    self.send(number, AgentMessage::Findings(reports));
                 }
                 logs::log_dependency(&format!("entry {}", hello.entry), true, "");
             }
@@ -276,26 +276,26 @@
             EntryMessage::Permit(req) => self.answer_permit_request(now, number, &req),
             EntryMessage::EndedUnder(crashes) => {
                 let record = |e: &wire::End| {
-                    self.findings.record_crash(e.content, decode_crash(e))
+                    self.crash_reports.record_crash(e.content, decode_crash(e))
                 };
-                let findings = crashes.ends.iter().filter_map(record).collect();
-                self.forward_crash_reports(findings);
+                let reports = crashes.ends.iter().filter_map(record).collect();
+                self.forward_crash_reports(reports);
             }
             EntryMessage::Findings(received) => {
-                let new_reports = self.findings.apply(&received);
+                let new_reports = self.crash_reports.apply(&received);
                 self.forward_crash_reports(new_reports);
             }
         }
     }
 
     /// Forwards crash reports to all entries.
-    fn forward_crash_reports(&mut self, findings: Vec<wire::Finding>) {
-        if findings.is_empty() {
+    fn forward_crash_reports(&mut self, reports: Vec<wire::Finding>) {
+        if reports.is_empty() {
             return;
         }
         let numbers: Vec<_> = self.entries.keys().copied().collect();
         for number in numbers {
-            let findings = findings.clone();
+            let findings = reports.clone();
             self.send(number, AgentMessage::Findings(wire::Findings { findings }));
         }
     }
@@ -303,14 +303,14 @@
     /// Answers a request for units, as the bucket owner.
     fn grant_units(&mut self, now: Instant, number: EntryNumber, req: &wire::Reserve) {
         let requests: Vec<_> = req.wants.iter().map(decode_unit_request).collect();
-        let told = serving_time::ServingTime {
+        let serving_time = serving_time::ServingTime {
             elapsed: Duration::from_millis(req.told_ms),
             is_new_owner: req.joined,
         };
-        let entries = self.entries.len().max(req.entries as usize);
+        let entry_count = self.entries.len().max(req.entries as usize);
         let grants = self.limits.grant_units(
             now,
-            &UnitsRequest { serving_time: told, entry_count: entries, units: &requests },
+            &UnitsRequest { serving_time, entry_count, units: &requests },
         );
         if !grants.is_empty() {
             let grants = grants.iter().map(encode_grant).collect();
--- a/crates/larkspring/src/direct/agent/mod.rs
+++ b/crates/larkspring/src/direct/agent/mod.rs
@@ -64,10 +64,10 @@
         let (tx, rx) = channel::unbounded();
         let commands = driver::start(cfg.engine, protocol, stats.clone(), tx.clone());
         let metrics = cfg.process.metrics;
-        let findings = Arc::new(CrashReports::new(stats.clone()));
+        let crash_reports = Arc::new(CrashReports::new(stats.clone()));
         let state = StateCache::new(directory, stats.clone(), &cfg.process);
         let (metrics_stats, metrics_findings, metrics_state) =
-            (stats.clone(), findings.clone(), state.clone());
+            (stats.clone(), crash_reports.clone(), state.clone());
         let handler = move |_: &str| {
             metrics_findings.write_metrics();
             metrics_state.write_metrics();
@@ -82,11 +82,11 @@
             addr = %addr,
             engine = %cfg.engine,
         );
-        let controller = Controller::new(&cfg, commands, stats, findings.clone());
+        let controller = Controller::new(&cfg, commands, stats, crash_reports.clone());
         let tasks = vec![
             served,
             exec::spawn(controller.run(rx)),
-            exec::spawn(quarantine_sync::run(quarantine, findings, tx.clone())),
+            exec::spawn(quarantine_sync::run(quarantine, crash_reports, tx.clone())),
             exec::spawn(logs::log_dropped_lines()),
         ];
         let stopper = serve::start(listener, tx, state);
--- a/crates/larkspring/src/direct/agent/quarantine_sync.rs
+++ b/crates/larkspring/src/direct/agent/quarantine_sync.rs
@@ -30,7 +30,7 @@
 /// The stored fingerprints and lifts as this agent knows them.
 struct QuarantineSync {
     store: Arc<dyn QuarantineStore>,
-    findings: Arc<CrashReports>,
+    crash_reports: Arc<CrashReports>,
     events: Sender<Event>,
     stored: BTreeSet<ContentHash>,
     /// The store's epoch in which the fingerprints were stored.
@@ -58,14 +58,14 @@
 /// Synchronises the store with the crash reports, without end.
 pub(super) async fn run(
     store: Arc<dyn QuarantineStore>,
-    findings: Arc<CrashReports>,
+    crash_reports: Arc<CrashReports>,
     events: Sender<Event>,
 ) {
     let (stored, listed_at) = (BTreeSet::new(), Instant::now());
     let lifted = BTreeMap::new();
     let epoch = store.epoch();
     let mut sync =
-        QuarantineSync { store, findings, events, stored, epoch, lifted, listed_at };
+        QuarantineSync { store, crash_reports, events, stored, epoch, lifted, listed_at };
     let mut loaded = false;
     loop {
         let step = match loaded {
@@ -88,7 +88,7 @@
     async fn load(&mut self) -> Result<(), PlatformError> {
         let listed = self.store.list().await?;
         self.epoch = self.store.epoch();
-        let new_reports = self.findings.quarantine(&listed);
+        let new_reports = self.crash_reports.quarantine(&listed);
         self.stored.extend(listed);
         self.forward(new_reports).await;
         self.apply_lifts().await
@@ -98,7 +98,7 @@
         if self.is_restored() {
             self.rewrite_after_restore().await?;
         }
-        let quarantined: BTreeSet<_> = self.findings.refused().into_iter().collect();
+        let quarantined: BTreeSet<_> = self.crash_reports.refused().into_iter().collect();
         for content in quarantined.difference(&self.stored.clone()) {
             if self.stored.len() >= MAX_STORED_FINGERPRINTS {
                 break;
@@ -123,7 +123,7 @@
             self.apply_lift(*content).await;
         }
         let imposed: Vec<_> = listed.difference(&self.stored).copied().collect();
-        let new_reports = self.findings.quarantine(&imposed);
+        let new_reports = self.crash_reports.quarantine(&imposed);
         self.stored.extend(imposed);
         self.forward(new_reports).await;
         Ok(())
@@ -186,7 +186,7 @@
         tracing::warn!(event = "request lifted", content = logs::format_hash(content));
         self.stored.remove(&content);
         self.lifted.insert(content, Instant::now());
-        let cleared = self.findings.record_answer(content);
+        let cleared = self.crash_reports.record_answer(content);
         self.forward(cleared.into_iter().collect()).await;
     }
 
--- a/crates/larkspring/src/direct/agent/state_cache.rs
+++ b/crates/larkspring/src/direct/agent/state_cache.rs
@@ -91,8 +91,8 @@
             let changes = ProcessCfg::change_frequency(kind);
             let pace = StoreReadTiming::for_agent(cfg.max_staleness(kind), changes);
             let keys = cfg.routing_wait().filter(|_| kind == StateKind::Routing);
-            let wait = keys.map_or(pace.long_poll, |wait| wait.min(pace.long_poll));
-            StoreReadTiming { long_poll: wait, ..pace }
+            let long_poll = keys.map_or(pace.long_poll, |wait| wait.min(pace.long_poll));
+            StoreReadTiming { long_poll, ..pace }
         };
         Arc::new(Self {
             store: StoreReader::new(directory, stats.clone()),
@@ -148,24 +148,20 @@
     async fn follow(self: Arc<Self>, kind: StateKind) {
         let feed = self.feed(kind);
         loop {
-            let after = {
+            let changes = {
                 let mut cached = feed.cached.lock();
                 if cached.last_read_at.is_none_or(|at| at.elapsed() > IDLE_TIMEOUT) {
                     *cached = CachedState::default();
                     return;
                 }
-                let at = cached.at;
+                let known = cached.at;
                 let is_full = cached.changes.len() >= MAX_KEPT_CHANGES;
                 let lists = cached.answered_at.is_none() || cached.must_list || is_full;
-                (!lists).then_some(ChangeQuery {
-                    known: at,
-                    max_wait: self.pace(kind).long_poll,
-                })
+                (!lists)
+                    .then_some(ChangeQuery { known, max_wait: self.pace(kind).long_poll })
             };
-            let read = self
-                .store
-                .read(StateQuery { kind, changes: after }, self.pace(kind))
-                .await;
+            let read =
+                self.store.read(StateQuery { kind, changes }, self.pace(kind)).await;
             self.stats.count_store_call(kind.name(), read.is_ok());
             let pause = self.apply_read(kind, read);
             Timer::after(pause).await;
--- a/crates/larkspring/src/direct/entry/admission.rs
+++ b/crates/larkspring/src/direct/entry/admission.rs
@@ -64,7 +64,9 @@
     /// Returns whether the known keys are fresh enough to authenticate with.
     pub(super) fn has_fresh_keys(&self) -> bool {
         let Some(trusted) = self.cfg().process.max_key_age() else { return true };
-        self.beliefs.proof_age(StateKind::Routing).is_some_and(|age| age <= trusted)
+        self.replicated_state
+            .proof_age(StateKind::Routing)
+            .is_some_and(|age| age <= trusted)
     }
 
     /// Returns the reason for refusing a request without a matching route. If the routing
@@ -81,7 +83,9 @@
     /// missing from every routing that may be in force.
     fn is_absence_certain(&self) -> bool {
         let in_force = self.cfg().process.routing_bound;
-        self.beliefs.proof_age(StateKind::Routing).is_some_and(|age| age <= in_force)
+        self.replicated_state
+            .proof_age(StateKind::Routing)
+            .is_some_and(|age| age <= in_force)
     }
 
     /// Charges a request to its workspace's limit; the error is the retry time.
--- a/crates/larkspring/src/direct/entry/attempt.rs
+++ b/crates/larkspring/src/direct/entry/attempt.rs
@@ -165,7 +165,9 @@
         self.in_flight.store(true, Ordering::Release);
         let outdated = async {
             match selection.target.as_ref().filter(|_| self.route.class.is_retryable()) {
-                Some(target) => self.entry.beliefs.wait_until_outdated(target).await,
+                Some(target) => {
+                    self.entry.replicated_state.wait_until_outdated(target).await
+                }
                 // A request that must not run twice can't be withdrawn.
                 None => future::pending().await,
             }
--- a/crates/larkspring/src/direct/entry/connections.rs
+++ b/crates/larkspring/src/direct/entry/connections.rs
@@ -172,7 +172,7 @@
 }
 
 fn bounds(entry: &EntryState) -> RequestLimits {
-    entry.beliefs.routing().map(|r| r.bounds).unwrap_or_default()
+    entry.replicated_state.routing().map(|r| r.bounds).unwrap_or_default()
 }
 
 impl Phase {
--- a/crates/larkspring/src/direct/entry/crashes.rs
+++ b/crates/larkspring/src/direct/entry/crashes.rs
@@ -33,7 +33,7 @@
 /// The crashes that this entry detected, and the known crash reports of all entries.
 pub(super) struct CrashDetector {
     fleet: Arc<Fleet>,
-    findings: Arc<CrashReports>,
+    crash_reports: Arc<CrashReports>,
     stats: Arc<Stats>,
     /// Crashes detected by this entry, the latest last.
     crashes: Mutex<VecDeque<DetectedCrash>>,
@@ -74,16 +74,16 @@
     /// Creates a record without crashes.
     pub fn new(
         fleet: Arc<Fleet>,
-        findings: Arc<CrashReports>,
+        crash_reports: Arc<CrashReports>,
         stats: Arc<Stats>,
     ) -> Arc<Self> {
         let (crashes, agents) = (Mutex::default(), Mutex::default());
-        Arc::new(Self { fleet, findings, stats, crashes, agents })
+        Arc::new(Self { fleet, crash_reports, stats, crashes, agents })
     }
 
     /// Returns whether requests with a fingerprint are quarantined.
     pub fn is_quarantined(&self, fingerprint: ContentHash) -> bool {
-        self.findings.status(fingerprint) == QuarantineStatus::Refused
+        self.crash_reports.status(fingerprint) == QuarantineStatus::Refused
     }
 
     /// Records that a request's connection broke before the answer was complete.
@@ -92,7 +92,7 @@
         peer: &Arc<Peer>,
         fingerprint: ContentHash,
         id: &str,
-        began: Instant,
+        sent_at: Instant,
     ) {
         let endpoint = peer.endpoint();
         // A draining endpoint exits as planned, whatever requests it runs.
@@ -102,8 +102,8 @@
         if peer.record_interrupted(InterruptedRequest {
             fingerprint,
             id: id.into(),
-            began,
-            at: Instant::now(),
+            sent_at,
+            crashed_at: Instant::now(),
         }) {
             exec::spawn(self.clone().probe(peer.clone())).detach();
         }
@@ -111,7 +111,7 @@
 
     /// Records a complete answer, which clears the suspicion against its request.
     pub fn record_answer(&self, fingerprint: ContentHash) {
-        let Some(cleared) = self.findings.record_answer(fingerprint) else { return };
+        let Some(cleared) = self.crash_reports.record_answer(fingerprint) else { return };
         self.crashes.lock().retain(|crash| crash.fingerprint != fingerprint);
         let report = wire::Findings { findings: vec![cleared] };
         for (_, link) in self.counting_agents(fingerprint) {
@@ -122,7 +122,7 @@
 
     /// Updates the metrics of quarantined and suspected requests.
     pub fn update_metrics(&self) {
-        self.findings.write_metrics();
+        self.crash_reports.write_metrics();
     }
 
     /// Reports recent crashes to agents that take the place of others, until dropped.
@@ -158,12 +158,9 @@
             return;
         }
         let run = xxh3_64(endpoint.id.as_bytes());
-        for InterruptedRequest { fingerprint, id, began, at } in interrupted {
+        for InterruptedRequest { fingerprint, id, sent_at, crashed_at } in interrupted {
             let attempt = xxh3_64_with_seed(id.as_bytes(), run);
-            self.record_crash(
-                fingerprint,
-                Crash { attempt, sent_at: began, crashed_at: at },
-            );
+            self.record_crash(fingerprint, Crash { attempt, sent_at, crashed_at });
         }
         self.report();
     }
@@ -197,7 +194,7 @@
             crashes.pop_front();
         }
         crashes.push_back(DetectedCrash { fingerprint, end, reported_to: Vec::new() });
-        self.findings.record_crash(fingerprint, end);
+        self.crash_reports.record_crash(fingerprint, end);
     }
 
     /// Returns whether the set of live agents changed while there are crashes to report.
--- a/crates/larkspring/src/direct/entry/directory.rs
+++ b/crates/larkspring/src/direct/entry/directory.rs
@@ -304,9 +304,9 @@
 
 /// Limits a read's wait for a change to [`URGENT_WAIT`].
 fn without_wait(ask: StateQuery) -> StateQuery {
-    let after =
+    let changes =
         ask.changes.map(|a| ChangeQuery { max_wait: a.max_wait.min(URGENT_WAIT), ..a });
-    StateQuery { changes: after, ..ask }
+    StateQuery { changes, ..ask }
 }
 
 fn wire_kind(kind: StateKind) -> wire::Kind {
--- a/crates/larkspring/src/direct/entry/engine_state.rs
+++ b/crates/larkspring/src/direct/entry/engine_state.rs
@@ -28,7 +28,7 @@
     resident: HashSet<TargetHash>,
     loading: HashSet<TargetHash>,
     copies: HostCopies,
-    unread: Option<PrefillBacklog>,
+    prefill_backlog: Option<PrefillBacklog>,
     /// Granted holds of this entry at the time of the last state report.
     own_holds_at_report: u32,
 }
@@ -82,7 +82,7 @@
         let drains = state.leaving && !self.state.leaving;
         let run = self.apply_run(now, &state) || drains;
         let rate = self.record_rate(&state);
-        self.unread = Some(PrefillBacklog::new(now, state.unread_tokens));
+        self.prefill_backlog = Some(PrefillBacklog::new(now, state.unread_tokens));
         self.own_holds_at_report = own_holds;
         self.state = state;
         StateChanges { engagement, run, rate }
@@ -98,7 +98,7 @@
             running: held.max(own_holds),
             free_slots: self.state.free_places,
             loads_ahead: self.state.loads_ahead + self.loading.len() as u32,
-            unread_tokens: self.unread.map_or(0, |u| u.tokens_at(now)),
+            unread_tokens: self.prefill_backlog.map_or(0, |u| u.tokens_at(now)),
         }
     }
 
--- a/crates/larkspring/src/direct/entry/fleet.rs
+++ b/crates/larkspring/src/direct/entry/fleet.rs
@@ -24,7 +24,7 @@
 
 /// The endpoints of all services, and the connections to the agents beside them.
 pub(super) struct Fleet {
-    beliefs: Arc<ReplicatedState>,
+    replicated_state: Arc<ReplicatedState>,
     identity: EntryIdentity,
     agent_port: u16,
     peers: ArcSwap<Peers>,
@@ -68,13 +68,13 @@
 impl Fleet {
     /// Creates a fleet without endpoints.
     pub fn new(
-        beliefs: Arc<ReplicatedState>,
+        replicated_state: Arc<ReplicatedState>,
         identity: EntryIdentity,
         agent_port: u16,
         sinks: MessageSinks,
     ) -> Arc<Self> {
         Arc::new(Self {
-            beliefs,
+            replicated_state,
             identity,
             agent_port,
             peers: ArcSwap::default(),
@@ -92,7 +92,7 @@
     pub async fn follow(self: Arc<Self>) {
         loop {
             let (changed, run_changed) =
-                (self.beliefs.changed(), self.run_changed.listen());
+                (self.replicated_state.changed(), self.run_changed.listen());
             self.rebuild();
             future::or(changed, run_changed).await;
         }
@@ -137,11 +137,11 @@
     pub fn apply_notice(
         &self,
         peer: &Peer,
-        asked: Instant,
+        sent_at: Instant,
         notice: Notice,
         source: NoticeSource<'_>,
     ) {
-        let changes = peer.apply_notice(asked, notice);
+        let changes = peer.apply_notice(sent_at, notice);
         log_notice(peer, notice, changes, source);
         if changes.draining || changes.backoff {
             // Wakes requests that wait for an adapter there, so that they go elsewhere.
@@ -261,7 +261,7 @@
     }
 
     fn rebuild(&self) {
-        let routing = self.beliefs.routing();
+        let routing = self.replicated_state.routing();
         let before = self.peers.load();
         let mut now = Peers::default();
         for endpoint in self.endpoints(&before) {
@@ -339,8 +339,8 @@
     /// Returns the endpoints that the platform lists, and the runs that agents report and
     /// the platform does not list yet.
     fn endpoints(&self, before: &Peers) -> Vec<Arc<Endpoint>> {
-        let routing = self.beliefs.routing();
-        let mut endpoints = self.beliefs.endpoints();
+        let routing = self.replicated_state.routing();
+        let mut endpoints = self.replicated_state.endpoints();
         // An endpoint of an undeclared service may have taken the address of another.
         endpoints.retain(|e| {
             routing.as_ref().is_some_and(|r| r.service(&e.service).is_some())
@@ -377,8 +377,10 @@
             sinks: self.sinks.clone(),
         };
         let link = Link::new(addr.to_string(), events);
-        let (beliefs, service) = (self.beliefs.clone(), service.clone());
-        let engine = move || engine_declaration(beliefs.routing().as_deref(), &service);
+        let (replicated_state, service) =
+            (self.replicated_state.clone(), service.clone());
+        let engine =
+            move || engine_declaration(replicated_state.routing().as_deref(), &service);
         let task = exec::spawn(link.clone().run(self.identity.clone(), engine));
         links.insert(addr, MaintainedLink { link: link.clone(), _task: task });
         link
--- a/crates/larkspring/src/direct/entry/link.rs
+++ b/crates/larkspring/src/direct/entry/link.rs
@@ -71,7 +71,7 @@
     /// Receives the grants of agents that are bucket owners.
     pub grants: Sender<Vec<Grant>>,
     /// The known crash reports.
-    pub findings: Arc<CrashReports>,
+    pub crash_reports: Arc<CrashReports>,
 }
 
 /// The identity of this entry.
@@ -175,8 +175,8 @@
         let mut declared_version = first.routing_version;
         send(&tx, Kind::Engine(first));
         self.restore_holds(&tx);
-        if let Some(findings) = self.events.sinks.findings.latest() {
-            send(&tx, Kind::Findings(findings));
+        if let Some(reports) = self.events.sinks.crash_reports.latest() {
+            send(&tx, Kind::Findings(reports));
         }
         let up = match with_timeout(CONNECT_TIMEOUT, client.follow(rx)).await {
             Some(Ok(up)) => up,
@@ -222,8 +222,8 @@
     }
 
     /// Sends crash reports to the agent; returns whether they were queued.
-    pub fn send_crash_reports(&self, findings: wire::Findings) -> bool {
-        self.send_message(Kind::Findings(findings))
+    pub fn send_crash_reports(&self, reports: wire::Findings) -> bool {
+        self.send_message(Kind::Findings(reports))
     }
 
     /// Returns the number of connections opened so far. An agent with a new connection
@@ -320,7 +320,7 @@
             }
             Some(FromAgentKind::Findings(findings)) => {
                 drop(engine_state);
-                self.events.sinks.findings.apply(&findings);
+                self.events.sinks.crash_reports.apply(&findings);
             }
             Some(FromAgentKind::Refused(refused)) => {
                 drop(engine_state);
--- a/crates/larkspring/src/direct/entry/log.rs
+++ b/crates/larkspring/src/direct/entry/log.rs
@@ -30,12 +30,13 @@
             reason = reason.name(),
             status = reason.status().as_u16(),
             took_ms = since.elapsed().as_millis() as u64,
-            routing = entry.beliefs.routing().map(|r| r.version),
+            routing = entry.replicated_state.routing().map(|r| r.version),
             routing_proof_age_ms = entry
-                .beliefs
+                .replicated_state
                 .proof_age(StateKind::Routing)
                 .map(|age| age.as_millis() as u64),
-            store_age_ms = entry.beliefs.store_age().map(|age| age.as_millis() as u64),
+            store_age_ms =
+                entry.replicated_state.store_age().map(|age| age.as_millis() as u64),
             endpoint = inputs.map(|i| &*i.endpoint),
             holding = inputs.map(|i| i.holding),
             running = inputs.map(|i| i.running),
@@ -52,7 +53,7 @@
     if logs::is_allowed(LineKind::Served) {
         let inputs = job.inputs.as_ref();
         let model = job.caller.model.as_ref();
-        let age = job.entry.beliefs.store_age();
+        let age = job.entry.replicated_state.store_age();
         tracing::info!(
             event = "answered",
             request = job.caller.id,
--- a/crates/larkspring/src/direct/entry/mod.rs
+++ b/crates/larkspring/src/direct/entry/mod.rs
@@ -88,7 +88,7 @@
 pub(super) struct EntryState {
     cfg: ArcSwap<EntryCfg>,
     protocol: Arc<dyn Protocol>,
-    beliefs: Arc<ReplicatedState>,
+    replicated_state: Arc<ReplicatedState>,
     fleet: Arc<Fleet>,
     limits: Arc<Limits>,
     permits: Permits,
@@ -140,17 +140,18 @@
         protocol: Arc<dyn Protocol>,
         directory: Arc<dyn StateStore>,
     ) -> Result<Self, StartError> {
-        let beliefs = Arc::new(ReplicatedState::default());
+        let replicated_state = Arc::new(ReplicatedState::default());
         let stats = Arc::new(Stats::new());
         let identity =
             EntryIdentity { vm: cfg.process.vm.clone(), hall: cfg.process.hall.clone() };
         let (tx, grants) = channel::unbounded();
-        let findings = Arc::new(CrashReports::new(stats.clone()));
-        let sinks = MessageSinks { grants: tx, findings: findings.clone() };
-        let fleet = Fleet::new(beliefs.clone(), identity, cfg.process.agent_port, sinks);
-        let crashes = CrashDetector::new(fleet.clone(), findings, stats.clone());
+        let crash_reports = Arc::new(CrashReports::new(stats.clone()));
+        let sinks = MessageSinks { grants: tx, crash_reports: crash_reports.clone() };
+        let fleet =
+            Fleet::new(replicated_state.clone(), identity, cfg.process.agent_port, sinks);
+        let crashes = CrashDetector::new(fleet.clone(), crash_reports, stats.clone());
         let terms = cfg.process.limits;
-        let limits = Limits::new(terms, beliefs.clone(), fleet.clone(), grants);
+        let limits = Limits::new(terms, replicated_state.clone(), fleet.clone(), grants);
         let listener = TcpListener::bind(cfg.listen).await;
         let listener =
             listener.map_err(|e| StartError::Listen("callers", cfg.listen, e))?;
@@ -159,7 +160,7 @@
         let inner = Arc::new(EntryState {
             cfg: ArcSwap::from_pointee(cfg),
             protocol,
-            beliefs: beliefs.clone(),
+            replicated_state: replicated_state.clone(),
             fleet: fleet.clone(),
             limits: limits.clone(),
             permits: Permits::new(fleet.clone(), stats.clone()),
@@ -174,7 +175,8 @@
         let process = inner.cfg().process.clone();
         let store = StoreReader::new(directory, stats.clone());
         let directory = Arc::new(HallDirectory::new(store, fleet.clone(), &process));
-        let mut tasks = watch::follow(directory, beliefs, stats.clone(), &process);
+        let mut tasks =
+            watch::follow(directory, replicated_state, stats.clone(), &process);
         tasks.push(exec::spawn(limits.run()));
         tasks.push(exec::spawn(crashes.run()));
         tasks.push(exec::spawn(fleet.clone().follow()));
@@ -243,7 +245,7 @@
     /// Returns 200 while the routing and an endpoint are known, the API keys are fresh
     /// enough to authenticate with, and the entry is not stopping; 503 otherwise.
     fn readiness(&self) -> StatusCode {
-        let routing = self.beliefs.routing();
+        let routing = self.replicated_state.routing();
         let keys_fresh =
             routing.is_some_and(|r| r.workspaces.is_none() || self.has_fresh_keys());
         let is_routable = keys_fresh && !self.fleet.is_empty();
@@ -255,14 +257,14 @@
 
     fn metrics(&self) -> Vec<u8> {
         let unavailable_ms = self
-            .beliefs
+            .replicated_state
             .store_unavailable_since()
             .map_or(0, |at| at.elapsed().as_millis());
-        let version = self.beliefs.routing().map_or(0, |r| r.version);
+        let version = self.replicated_state.routing().map_or(0, |r| r.version);
         self.stats.set_gauge("routing_version", version as i64);
         self.stats.set_gauge("store_away_ms", unavailable_ms as i64);
         for kind in StateKind::ALL {
-            self.stats.set_proof_age(kind.name(), self.beliefs.proof_age(kind));
+            self.stats.set_proof_age(kind.name(), self.replicated_state.proof_age(kind));
         }
         for (workspace, units) in self.limits.reserved() {
             self.stats.set_reserved_units(&workspace, units as i64);
--- a/crates/larkspring/src/direct/entry/notices.rs
+++ b/crates/larkspring/src/direct/entry/notices.rs
@@ -22,7 +22,7 @@
         head: &Parts,
         answer_head: &AnswerHead,
         peer: &Arc<Peer>,
-        asked: Instant,
+        sent_at: Instant,
     ) {
         let unknown = self.entry.protocol.unknown_names(&head.headers);
         self.entry.stats.count_unknown_names(NameSource::Answer, &unknown);
@@ -43,7 +43,7 @@
         let (request, status) = (&*self.caller.id, head.status.as_u16());
         self.entry.fleet.apply_notice(
             peer,
-            asked,
+            sent_at,
             notice,
             NoticeSource::Answer { request, status },
         );
--- a/crates/larkspring/src/direct/entry/peer.rs
+++ b/crates/larkspring/src/direct/entry/peer.rs
@@ -52,8 +52,8 @@
     pub fingerprint: ContentHash,
     pub id: RequestId,
     /// When the request was sent.
-    pub began: Instant,
-    pub at: Instant,
+    pub sent_at: Instant,
+    pub crashed_at: Instant,
 }
 
 /// Counts a request at an endpoint until dropped.
@@ -145,10 +145,10 @@
 
     /// Applies a notice from an answer to a request sent at `asked`, or from the agent,
     /// and returns the changes.
-    pub fn apply_notice(&self, asked: Instant, notice: Notice) -> AvailabilityChanges {
+    pub fn apply_notice(&self, sent_at: Instant, notice: Notice) -> AvailabilityChanges {
         self.availability.lock().apply_notice(
             Instant::now(),
-            asked,
+            sent_at,
             notice,
             fastrand::f64(),
         )
--- a/crates/larkspring/src/direct/entry/request_handler.rs
+++ b/crates/larkspring/src/direct/entry/request_handler.rs
@@ -390,12 +390,12 @@
 
 /// Returns the routing; just after the entry's start waits briefly for the first routing.
 async fn routing(entry: &EntryState) -> Option<Arc<Routing>> {
-    let changed = entry.beliefs.changed();
-    if let Some(routing) = entry.beliefs.routing() {
+    let changed = entry.replicated_state.changed();
+    if let Some(routing) = entry.replicated_state.routing() {
         return Some(routing);
     }
     with_timeout(ROUTING_TIMEOUT, changed).await;
-    entry.beliefs.routing()
+    entry.replicated_state.routing()
 }
 
 /// Removes hop-by-hop headers.
--- a/crates/larkspring/src/direct/entry/select.rs
+++ b/crates/larkspring/src/direct/entry/select.rs
@@ -314,8 +314,8 @@
     /// Returns the load time within which the answer can still begin within the
     /// objective.
     fn load_time_limit(&self, inputs: &SelectionInputs) -> Duration {
-        let unread = inputs.backlog_tokens + inputs.unread_tokens;
-        self.time_to_objective().saturating_sub(prefill_time(unread))
+        let prefill_tokens = inputs.backlog_tokens + inputs.unread_tokens;
+        self.time_to_objective().saturating_sub(prefill_time(prefill_tokens))
     }
 
     /// Returns the time left until the latency objective is missed.
@@ -332,7 +332,7 @@
         excluded: &[Incarnation],
     ) -> Option<AdapterSelection> {
         let now = Instant::now();
-        let versions = self.entry.beliefs.versions();
+        let versions = self.entry.replicated_state.versions();
         let newest = versions.newest(adapter);
         let target = Target { adapter: adapter.clone(), version: newest };
         let hash = target.hash();
--- a/crates/larkspring/src/direct/entry/workspace_limits.rs
+++ b/crates/larkspring/src/direct/entry/workspace_limits.rs
@@ -33,7 +33,7 @@
 
 /// The state of the workspaces' limits in an entry.
 pub(super) struct Limits {
-    beliefs: Arc<ReplicatedState>,
+    replicated_state: Arc<ReplicatedState>,
     fleet: Arc<Fleet>,
     accounts: Mutex<WorkspaceReservations<Sender<LimitDecision>>>,
     /// Grants this entry an even share while no agent is live.
@@ -67,12 +67,12 @@
     /// grants.
     pub fn new(
         terms: LimitTolerance,
-        beliefs: Arc<ReplicatedState>,
+        replicated_state: Arc<ReplicatedState>,
         fleet: Arc<Fleet>,
         grants: Receiver<Vec<Grant>>,
     ) -> Arc<Self> {
         Arc::new(Self {
-            beliefs,
+            replicated_state,
             fleet,
             accounts: Mutex::new(WorkspaceReservations::new(terms)),
             local_owner: Mutex::new(BucketOwner::new(terms)),
@@ -154,7 +154,7 @@
     /// long for them, and passes over the bucket owners.
     fn give_up_unanswered(&self, now: Instant) {
         let mut decided = Vec::new();
-        let asked = {
+        let requested_at = {
             let mut accounts = self.accounts.lock();
             accounts.set_entry_count(self.entries());
             accounts.expire_unanswered(now, &mut decided)
@@ -163,7 +163,7 @@
         // Units requested before the last change of owners were requested from the
         // previous owners.
         let mut changed = self.owners_changed_at.lock();
-        if asked.is_none_or(|asked| asked <= *changed) {
+        if requested_at.is_none_or(|requested_at| requested_at <= *changed) {
             return;
         }
         *changed = now;
@@ -178,26 +178,22 @@
 
     /// Sends the requested units of each group to its bucket owner in one message.
     fn request_units(&self, now: Instant, is_poll: bool) {
-        let wants = self.accounts.lock().units_to_request(now, is_poll);
-        if wants.is_empty() && !is_poll {
+        let requested = self.accounts.lock().units_to_request(now, is_poll);
+        if requested.is_empty() && !is_poll {
             return;
         }
         let groups = self.groups();
         for group in 0..groups {
             let of_group = |w: &&RequestedUnits| group_of(w.workspace, groups) == group;
-            let wants: Vec<_> = wants.iter().filter(of_group).copied().collect();
-            if wants.is_empty() && !is_poll {
+            let requested: Vec<_> = requested.iter().filter(of_group).copied().collect();
+            if requested.is_empty() && !is_poll {
                 continue;
             }
             let owner = self.owner(now, group);
-            let presence =
-                self.presence(now, group, owner.as_ref().map(|(addr, _)| *addr));
-            let entries = self.entries() as usize;
-            let ask = UnitsRequest {
-                serving_time: presence,
-                entry_count: entries,
-                units: &wants,
-            };
+            let serving_time =
+                self.serving_time(now, group, owner.as_ref().map(|(addr, _)| *addr));
+            let entry_count = self.entries() as usize;
+            let ask = UnitsRequest { serving_time, entry_count, units: &requested };
             match owner {
                 // A request for units that can't be sent is later treated as unanswered.
                 Some((_, link)) => drop(link.request_units(&ask)),
@@ -208,21 +204,21 @@
         }
     }
 
-    /// Returns the presence that a request to a bucket owner reports. After a change of
+    /// Returns the serving time that a request to a bucket owner reports. After a change of
     /// the owner, units from the previous owner stay usable but are not returned to the
     /// new one.
-    fn presence(
+    fn serving_time(
         &self,
         now: Instant,
         group: u64,
         owner: Option<SocketAddr>,
     ) -> ServingTime {
-        let presence =
+        let serving_time =
             self.owners.lock().entry(group).or_default().record_request(now, owner);
-        if presence.is_new_owner {
+        if serving_time.is_new_owner {
             self.accounts.lock().record_owner_change();
         }
-        presence
+        serving_time
     }
 
     /// Returns the number of entries that share the limits. Without a live agent the
@@ -238,7 +234,7 @@
     /// Returns the number of workspace groups, each with a bucket owner; 0 without
     /// workspaces.
     fn groups(&self) -> u64 {
-        let routing = self.beliefs.routing();
+        let routing = self.replicated_state.routing();
         let workspaces = routing.as_ref().and_then(|r| r.workspaces.as_ref());
         workspaces.map_or(0, |w| w.count().div_ceil(GROUP_SIZE) as u64)
     }
--- a/crates/larkspring/src/direct/quarantine.rs
+++ b/crates/larkspring/src/direct/quarantine.rs
@@ -96,9 +96,9 @@
         if self.len.load(Ordering::Acquire) == 0 {
             return None;
         }
-        let findings = self.known.lock().reports(Instant::now());
+        let reports = self.known.lock().reports(Instant::now());
         let findings: Vec<_> =
-            findings.into_iter().take(MAX_SENT_REPORTS).map(encode).collect();
+            reports.into_iter().take(MAX_SENT_REPORTS).map(encode).collect();
         (!findings.is_empty()).then_some(wire::Findings { findings })
     }
 
@@ -128,13 +128,13 @@
         changed
     }
 
-    fn log(&self, content: ContentHash, standing: QuarantineStatus) {
-        let (event, status) = match standing {
+    fn log(&self, content: ContentHash, status: QuarantineStatus) {
+        let (event, label) = match status {
             QuarantineStatus::Unrestricted => ("request cleared", "cleared"),
             QuarantineStatus::Suspected => ("request suspected", "suspected"),
             QuarantineStatus::Refused => ("request quarantined", "quarantined"),
         };
-        self.stats.count_quarantine(status);
+        self.stats.count_quarantine(label);
         if logs::is_allowed(LineKind::StateChange) {
             tracing::warn!(event, content = logs::format_hash(content));
         }
--- a/crates/larkspring/src/direct/stats.rs
+++ b/crates/larkspring/src/direct/stats.rs
@@ -253,8 +253,8 @@
     }
 
     /// Counts a change of a fingerprint's quarantine status.
-    pub fn count_quarantine(&self, standing: &str) {
-        self.count_quarantine.with_label_values(&[standing]).inc();
+    pub fn count_quarantine(&self, status: &str) {
+        self.count_quarantine.with_label_values(&[status]).inc();
     }
 
     /// Counts a check whether an endpoint has ended.
--- a/crates/larkspring/src/direct/watch.rs
+++ b/crates/larkspring/src/direct/watch.rs
@@ -31,7 +31,7 @@
 /// Follows all kinds in the background, as long as the tasks are kept.
 pub fn follow(
     directory: Arc<dyn StateStore>,
-    beliefs: Arc<ReplicatedState>,
+    replicated_state: Arc<ReplicatedState>,
     stats: Arc<Stats>,
     cfg: &ProcessCfg,
 ) -> Vec<smol::Task<()>> {
@@ -39,7 +39,7 @@
         let follower = Follower {
             kind,
             directory: directory.clone(),
-            beliefs: beliefs.clone(),
+            replicated_state: replicated_state.clone(),
             stats: stats.clone(),
             pace: Pace::of(cfg, kind),
             failures: 0,
@@ -47,7 +47,7 @@
         exec::spawn(follower.run())
     };
     let mut tasks: Vec<_> = StateKind::ALL.into_iter().map(start).collect();
-    tasks.push(exec::spawn(expire(beliefs)));
+    tasks.push(exec::spawn(expire(replicated_state)));
     tasks
 }
 
@@ -73,7 +73,7 @@
 struct Follower {
     kind: StateKind,
     directory: Arc<dyn StateStore>,
-    beliefs: Arc<ReplicatedState>,
+    replicated_state: Arc<ReplicatedState>,
     stats: Arc<Stats>,
     pace: Pace,
     /// Number of consecutive failed calls.
@@ -84,7 +84,7 @@
     async fn run(mut self) {
         loop {
             let error = self.follow().await;
-            let available = self.beliefs.store_recovered();
+            let available = self.replicated_state.store_recovered();
             self.record_failure(&error);
             let mut rng = Rng::new();
             let wait = backoff(INITIAL_BACKOFF, MAX_BACKOFF, self.failures, &mut rng);
@@ -142,7 +142,8 @@
             ReadSource::Store => self.stats.count_store_call(self.kind.name(), true),
             ReadSource::Agent => self.stats.count_agent_read(self.kind.name()),
         }
-        self.beliefs.record_store_answer(now.checked_sub(state.age).unwrap_or(now));
+        self.replicated_state
+            .record_store_answer(now.checked_sub(state.age).unwrap_or(now));
         let at = listed.at;
         self.stats.set_store_point(self.kind.name(), at);
         self.stats.count_unknown_names(NameSource::Listed, &listed.unknown_names);
@@ -151,21 +152,21 @@
         let unreadable = left_out > 0;
         let readable = !listed.items.is_empty() && !unreadable;
         match state.is_complete {
-            true => self.beliefs.replace_all(now, self.kind, listed),
-            false => self.beliefs.apply_changes(now, listed),
+            true => self.replicated_state.replace_all(now, self.kind, listed),
+            false => self.replicated_state.apply_changes(now, listed),
         }
         if self.kind == StateKind::Routing && (unreadable || readable) {
-            self.beliefs.set_routing_invalid(unreadable);
+            self.replicated_state.set_routing_invalid(unreadable);
         }
         if let Some(at) = state.proved_at {
-            self.beliefs.record_proof(self.kind, at);
+            self.replicated_state.record_proof(self.kind, at);
         }
         Ok((at, state.source))
     }
 
     async fn watch(&self, after: ChangeQuery) -> Result<ReadOutcome, PlatformError> {
         let unavailable = async {
-            self.beliefs.wait_store_unavailable().await;
+            self.replicated_state.wait_store_unavailable().await;
             let cause = "the store is unavailable to other calls".into();
             Err(PlatformError::NoEffect("watch objects", cause))
         };
@@ -183,7 +184,10 @@
     fn record_failure(&self, e: &PlatformError) {
         self.stats.count_store_call(self.kind.name(), false);
         if logs::is_allowed(LineKind::StateChange) {
-            let age = self.beliefs.proof_age(self.kind).map(|age| age.as_millis() as u64);
+            let age = self
+                .replicated_state
+                .proof_age(self.kind)
+                .map(|age| age.as_millis() as u64);
             tracing::info!(
                 event = "read failed",
                 kind = self.kind.name(),
@@ -192,15 +196,15 @@
                 proof_age_ms = age,
             );
         }
-        self.beliefs.record_store_failure(Instant::now(), &e.to_string());
+        self.replicated_state.record_store_failure(Instant::now(), &e.to_string());
     }
 }
 
 /// Removes endpoints that expired and were not listed again.
-async fn expire(beliefs: Arc<ReplicatedState>) {
+async fn expire(replicated_state: Arc<ReplicatedState>) {
     loop {
-        let changed = beliefs.changed();
-        match beliefs.expire(Instant::now()) {
+        let changed = replicated_state.changed();
+        match replicated_state.expire(Instant::now()) {
             Some(at) => drop(Timer::at(at).await),
             None => changed.await,
         }
--- a/crates/larkspring/tests/clock.rs
+++ b/crates/larkspring/tests/clock.rs
@@ -12,16 +12,22 @@
 #[test]
 fn proof_of_the_keys_ages_during_a_vm_suspension() {
     const SUSPENDED: Duration = Duration::from_secs(60);
-    let beliefs = ReplicatedState::default();
-    beliefs.record_proof(StateKind::Routing, BootInstant::now());
+    let replicated_state = ReplicatedState::default();
+    replicated_state.record_proof(StateKind::Routing, BootInstant::now());
     let (before, steady) = (BootInstant::now(), Instant::now());
     advance(SUSPENDED);
     assert!(steady.elapsed() < SUSPENDED);
     assert!(before.elapsed() >= SUSPENDED);
-    assert!(beliefs.proof_age(StateKind::Routing).is_some_and(|age| age >= SUSPENDED));
+    assert!(replicated_state
+        .proof_age(StateKind::Routing)
+        .is_some_and(|age| age >= SUSPENDED));
     // A proof in transit during the suspension is as old as the call that brought it.
-    beliefs.record_proof(StateKind::Routing, before);
-    assert!(beliefs.proof_age(StateKind::Routing).is_some_and(|age| age >= SUSPENDED));
-    beliefs.record_proof(StateKind::Routing, BootInstant::now());
-    assert!(beliefs.proof_age(StateKind::Routing).is_some_and(|age| age < SUSPENDED));
+    replicated_state.record_proof(StateKind::Routing, before);
+    assert!(replicated_state
+        .proof_age(StateKind::Routing)
+        .is_some_and(|age| age >= SUSPENDED));
+    replicated_state.record_proof(StateKind::Routing, BootInstant::now());
+    assert!(replicated_state
+        .proof_age(StateKind::Routing)
+        .is_some_and(|age| age < SUSPENDED));
 }
