--- a/crates/larkspring-core/src/engine_scheduler/fresh.rs
+++ b/crates/larkspring-core/src/engine_scheduler/fresh.rs
@@ -106,8 +106,8 @@
     }
 
     /// Sets the number of adapter slots.
-    pub fn set_adapter_slots(&mut self, places: usize) {
-        self.limits.adapter_slots = places;
+    pub fn set_adapter_slots(&mut self, adapter_slots: usize) {
+        self.limits.adapter_slots = adapter_slots;
     }
 
     /// Adapters that could be loaded without waiting for a request to end, in addition to
--- a/crates/larkspring-core/src/workspaces.rs
+++ b/crates/larkspring-core/src/workspaces.rs
@@ -97,7 +97,7 @@
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum WorkspaceError {
         /// Two workspaces have the same name.
-        SameName(name: String) { display("workspaces: {name}: declared twice") }
+        DuplicateName(name: String) { display("workspaces: {name}: declared twice") }
         /// A workspace has an empty key.
         EmptyKey(name: String) { display("workspaces: {name}: keys: one is empty") }
         /// A key belongs to two workspaces.
@@ -105,11 +105,11 @@
             display("workspaces: {second}: keys: one is also a key of {first}")
         }
         /// A figure of a limit is negative or not a number.
-        Figure(name: String, field: &'static str, value: String) {
+        InvalidFigure(name: String, field: &'static str, value: String) {
             display("workspaces: {name}: {field}: {value} is not a number from 0 on")
         }
         /// A limit has an unknown unit.
-        Unit(name: String, value: String) {
+        UnknownUnit(name: String, value: String) {
             display("workspaces: {name}: unit: {value:?} is neither requests nor tokens")
         }
     }
@@ -127,7 +127,7 @@
             let name = workspace.name.to_string();
             validate_limit(&workspace)?;
             if !names.insert(name.clone()) {
-                return Err(WorkspaceError::SameName(name));
+                return Err(WorkspaceError::DuplicateName(name));
             }
             let workspace = Arc::new(workspace);
             for key in keys {
@@ -179,7 +179,7 @@
     for (field, value) in figures {
         if !value.is_finite() || value < 0.0 {
             let name = workspace.name.to_string();
-            return Err(WorkspaceError::Figure(name, field, value.to_string()));
+            return Err(WorkspaceError::InvalidFigure(name, field, value.to_string()));
         }
     }
     Ok(())
--- a/crates/larkspring-core/tests/workspaces.rs
+++ b/crates/larkspring-core/tests/workspaces.rs
@@ -40,7 +40,7 @@
         Case {
             name: "one name twice",
             declared: vec![(a(), vec![key("k1")]), (a(), vec![key("k2")])],
-            error: Some(WorkspaceError::SameName("a".into())),
+            error: Some(WorkspaceError::DuplicateName("a".into())),
         },
         Case {
             name: "an empty key",
@@ -58,12 +58,12 @@
         Case {
             name: "a negative rate",
             declared: vec![(workspace("a", limit(-1.0, 0.0)), vec![])],
-            error: Some(WorkspaceError::Figure("a".into(), "rate", "-1".into())),
+            error: Some(WorkspaceError::InvalidFigure("a".into(), "rate", "-1".into())),
         },
         Case {
             name: "a burst that is no number",
             declared: vec![(workspace("a", limit(1.0, f64::NAN)), vec![])],
-            error: Some(WorkspaceError::Figure("a".into(), "burst", "NaN".into())),
+            error: Some(WorkspaceError::InvalidFigure("a".into(), "burst", "NaN".into())),
         },
     ];
     for c in cases {
--- a/crates/larkspring/src/direct/agent/controller.rs
+++ b/crates/larkspring/src/direct/agent/controller.rs
@@ -97,7 +97,7 @@
 
 /// A request that waits for its adapter.
 struct WaitingRequest {
-    unread_tokens: u32,
+    uncached_tokens: u32,
     adapter: TargetHash,
 }
 
@@ -366,7 +366,7 @@
         };
         let adapter = req.target.hash();
         self.waiting
-            .insert(id, WaitingRequest { unread_tokens: hold.unread_tokens, adapter });
+            .insert(id, WaitingRequest { uncached_tokens: hold.unread_tokens, adapter });
         if let Err(refusal) = self.slots.admit(now, id, req) {
             self.refuse(id, &refusal, &hold.request);
         }
@@ -416,7 +416,7 @@
 
     fn grant(&mut self, now: Instant, id: AttemptId) {
         let Some(waiting) = self.waiting.remove(&id) else { return };
-        self.prefill_backlog.add(now, waiting.unread_tokens);
+        self.prefill_backlog.add(now, waiting.uncached_tokens);
         let Some((number, hold)) = self.holds_by_attempt.get(&id).copied() else {
             return;
         };
--- a/crates/larkspring/src/direct/conn.rs
+++ b/crates/larkspring/src/direct/conn.rs
@@ -46,7 +46,7 @@
         /// The request was sent, at least in part.
         Broken(peer: String, cause: String) { display("{peer}: no answer: {cause}") }
         /// The request was sent, and then cancelled by its sender.
-        TakenBack(peer: String, cause: String) { display("{peer}: cancelled: {cause}") }
+        Cancelled(peer: String, cause: String) { display("{peer}: cancelled: {cause}") }
         /// The answer's body is over the size limit or was interrupted.
         Body(peer: String, cause: String) { display("{peer}: the answer can't be read: {cause}") }
     }
--- a/crates/larkspring/src/direct/entry/attempt.rs
+++ b/crates/larkspring/src/direct/entry/attempt.rs
@@ -155,10 +155,10 @@
             self.entry.stats.count_rated_send(self.send_label());
         }
         selection.open_request.end_prefill();
-        selection.open_request.begin_prefill(selection.inputs.unread_tokens);
+        selection.open_request.begin_prefill(selection.inputs.uncached_tokens);
         let Some(body) = self.send_body() else {
             let cause = "the body was sent before and is not buffered".into();
-            return Err(SendError::TakenBack(endpoint.addr.to_string(), cause));
+            return Err(SendError::Cancelled(endpoint.addr.to_string(), cause));
         };
         let version = selection.target.as_ref().map(|t| &*t.version);
         let req = self.request(&endpoint.id, version, body);
@@ -172,7 +172,7 @@
                 None => future::pending().await,
             }
             let cause = "requests may not begin on this version any more".into();
-            Err(SendError::TakenBack(endpoint.addr.to_string(), cause))
+            Err(SendError::Cancelled(endpoint.addr.to_string(), cause))
         };
         let res = future::or(conn.send(endpoint.addr, req), outdated).await;
         if matches!(res, Err(SendError::Unsent(..))) {
@@ -195,7 +195,7 @@
                 return self.classify_answer(res, conn, selection, peer).await
             }
             Err(e @ SendError::Unsent(..)) => (AttemptStatus::Unsent, e),
-            Err(e @ SendError::TakenBack(..)) => (AttemptStatus::Unknown, e),
+            Err(e @ SendError::Cancelled(..)) => (AttemptStatus::Unknown, e),
             Err(e) => {
                 self.entry.crashes.connection_broke(
                     peer,
@@ -258,7 +258,7 @@
         };
         let left =
             self.route.first_byte_objective.saturating_sub(self.received.elapsed());
-        urgency(priority, left, inputs.unread_tokens)
+        urgency(priority, left, inputs.uncached_tokens)
     }
 
     /// Classifies an answer by its head.
--- a/crates/larkspring/src/direct/entry/engine_state.rs
+++ b/crates/larkspring/src/direct/entry/engine_state.rs
@@ -42,10 +42,10 @@
     pub engagement: Engagement,
     /// Requests of all entries in the engine.
     pub running: u32,
-    pub free_slots: u32,
+    pub free_adapter_slots: u32,
     pub loads_ahead: u32,
     /// Prefill backlog of all entries' requests, in tokens.
-    pub unread_tokens: u32,
+    pub prefill_backlog_tokens: u32,
 }
 
 /// A run of an engine as reported by the agent.
@@ -96,9 +96,9 @@
             live: self.live,
             engagement: self.state.engagement(),
             running: held.max(own_holds),
-            free_slots: self.state.free_places,
+            free_adapter_slots: self.state.free_places,
             loads_ahead: self.state.loads_ahead + self.loading.len() as u32,
-            unread_tokens: self.prefill_backlog.map_or(0, |u| u.tokens_at(now)),
+            prefill_backlog_tokens: self.prefill_backlog.map_or(0, |u| u.tokens_at(now)),
         }
     }
 
--- a/crates/larkspring/src/direct/entry/link.rs
+++ b/crates/larkspring/src/direct/entry/link.rs
@@ -380,10 +380,11 @@
     let service = routing.service(service);
     let engine = service.and_then(|s| s.engine.as_ref());
     let models = engine.map_or(&[][..], |e| &e.models[..]);
-    let places = engine.and_then(|e| models.iter().map(|m| e.adapter_slots_for(m)).min());
+    let adapter_slots =
+        engine.and_then(|e| models.iter().map(|m| e.adapter_slots_for(m)).min());
     wire::Engine {
         routing_version: routing.version,
-        places: places.unwrap_or_default() as u64,
+        places: adapter_slots.unwrap_or_default() as u64,
         bases: models.iter().map(|m| m.name.to_string()).collect(),
         health_path: service.map(|s| s.health_path.clone()).unwrap_or_default(),
     }
--- a/crates/larkspring/src/direct/entry/link/hold.rs
+++ b/crates/larkspring/src/direct/entry/link/hold.rs
@@ -30,7 +30,7 @@
     /// Id of the request; empty for preloading.
     pub request_id: &'a str,
     /// Prompt tokens of the request that need a prefill.
-    pub unread_tokens: u32,
+    pub uncached_tokens: u32,
     /// Utility of an answer in time, by [`utility`](larkspring_core::fleet::utility).
     pub utility: f64,
     /// Load time within which the answer can still begin within the latency objective.
@@ -75,7 +75,7 @@
             wait_ms: request.wait.as_millis() as u64,
             in_use: false,
             request: request.request_id.into(),
-            unread_tokens: request.unread_tokens,
+            unread_tokens: request.uncached_tokens,
             worth: request.utility,
             in_time_ms: request.load_time_limit.as_millis() as u64,
         });
--- a/crates/larkspring/src/direct/entry/log.rs
+++ b/crates/larkspring/src/direct/entry/log.rs
@@ -73,9 +73,9 @@
             running = inputs.map(|i| i.running),
             loads_ahead = inputs.map(|i| i.loads_ahead),
             prompt_tokens = model.map(|m| m.prompt_tokens),
-            unread_tokens = inputs.map(|i| i.unread_tokens),
+            unread_tokens = inputs.map(|i| i.uncached_tokens),
             reading_tokens = inputs.map(|i| i.backlog_tokens),
-            free_places = inputs.map(|i| i.free_slots),
+            free_places = inputs.map(|i| i.free_adapter_slots),
             holders = inputs.map(|i| i.holders),
             chosen_of = inputs.map(|i| i.candidates),
         );
--- a/crates/larkspring/src/direct/entry/peer.rs
+++ b/crates/larkspring/src/direct/entry/peer.rs
@@ -350,7 +350,7 @@
     }
 
     /// Returns the tokens of a prompt that are probably not in the endpoint's cache.
-    pub fn unread_tokens(&self, target: TargetHash, req: &ModelRequest) -> u32 {
+    pub fn uncached_tokens(&self, target: TargetHash, req: &ModelRequest) -> u32 {
         let cached = self.cached_parts.lock();
         let known = req.parts.iter().take_while(|p| cached.contains(target, p));
         let known: u32 = known.map(|p| p.tokens).sum();
--- a/crates/larkspring/src/direct/entry/select.rs
+++ b/crates/larkspring/src/direct/entry/select.rs
@@ -228,7 +228,7 @@
     ) -> Result<Selection, Option<NoSelection>> {
         let AdapterSelection { peer, target, needs_hold, inputs } = chosen;
         let hash = target.hash();
-        let unread_tokens = inputs.unread_tokens;
+        let uncached_tokens = inputs.uncached_tokens;
         let load_time_limit = self.load_time_limit(&inputs);
         let open = peer.open_request();
         let selection =
@@ -247,7 +247,7 @@
             priority: self.priority(),
             wait: limit,
             request_id: &self.caller.id,
-            unread_tokens,
+            uncached_tokens,
             utility: self.utility(model),
             load_time_limit,
         };
@@ -314,7 +314,7 @@
     /// Returns the load time within which the answer can still begin within the
     /// objective.
     fn load_time_limit(&self, inputs: &SelectionInputs) -> Duration {
-        let prefill_tokens = inputs.backlog_tokens + inputs.unread_tokens;
+        let prefill_tokens = inputs.backlog_tokens + inputs.uncached_tokens;
         self.time_to_objective().saturating_sub(prefill_time(prefill_tokens))
     }
 
@@ -464,7 +464,7 @@
             priority: PRELOAD_PRIORITY,
             wait: PRELOAD_TIMEOUT,
             request_id: "",
-            unread_tokens: 0,
+            uncached_tokens: 0,
             utility: utility::LOAD_AHEAD_UTILITY,
             load_time_limit: PRELOAD_TIMEOUT,
         };
--- a/crates/larkspring/src/direct/entry/view.rs
+++ b/crates/larkspring/src/direct/entry/view.rs
@@ -51,17 +51,17 @@
     ) -> EndpointView {
         let mut view = self.plain_view(now, peer);
         view.max_concurrent = engine.batch_slots as u32;
-        view.uncached_prompt_tokens = peer.unread_tokens(target, model);
+        view.uncached_prompt_tokens = peer.uncached_tokens(target, model);
         let Some(link) = &peer.link else { return view };
         let known = link.view();
         let endpoint = peer.endpoint();
         view.running = view.running.max(known.running);
-        view.free_adapter_slots = known.free_slots;
+        view.free_adapter_slots = known.free_adapter_slots;
         view.loads_ahead = known.loads_ahead;
         let without = self.entry.cfg().disabled_mechanisms;
         if without.is_enabled(Mechanism::BacklogReports) {
             view.prefill_backlog_tokens =
-                view.prefill_backlog_tokens.max(known.unread_tokens);
+                view.prefill_backlog_tokens.max(known.prefill_backlog_tokens);
         }
         let engaged = known.live.then_some(known.engagement);
         view.loading_base = engaged == Some(Engagement::Filling);
@@ -99,11 +99,11 @@
     /// Adapter loads known to be queued at the endpoint.
     pub loads_ahead: u32,
     /// Tokens of the prompt that were probably not in the endpoint's cache.
-    pub unread_tokens: u32,
+    pub uncached_tokens: u32,
     /// The endpoint's known prefill backlog from other requests, in tokens.
     pub backlog_tokens: u32,
     /// Free adapter slots, as far as known.
-    pub free_slots: u32,
+    pub free_adapter_slots: u32,
     /// Number of endpoints that held the adapter, as far as known.
     pub holders: usize,
     /// The cost of the endpoint's recent failures in the selection.
@@ -124,9 +124,9 @@
             holding: holding_name(Some(view.adapter_location)),
             running: view.running,
             loads_ahead: view.loads_ahead,
-            unread_tokens: view.uncached_prompt_tokens,
+            uncached_tokens: view.uncached_prompt_tokens,
             backlog_tokens: view.prefill_backlog_tokens,
-            free_slots: view.free_adapter_slots,
+            free_adapter_slots: view.free_adapter_slots,
             holders: views
                 .iter()
                 .filter(|v| v.adapter_location == AdapterLocation::Resident)
