--- a/crates/larkspring/src/direct/agent/controller.rs
+++ b/crates/larkspring/src/direct/agent/controller.rs
@@ -59,7 +59,7 @@
 /// Decides which orders the engine gets, and answers the entries.
 pub(super) struct Controller {
     pub(super) holder: String,
-    pub(super) slots: EngineScheduler,
+    pub(super) scheduler: EngineScheduler,
     pub(super) commands: Sender<Command>,
     pub(super) stats: Arc<Stats>,
     pub(super) entries: HashMap<EntryNumber, EntryConnection>,
@@ -68,7 +68,7 @@
     /// Requests that wait for their adapter.
     waiting: HashMap<AttemptId, WaitingRequest>,
     /// Granted requests by hall and adapter.
-    demand: RequestRates<(HallId, TargetHash)>,
+    request_rates: RequestRates<(HallId, TargetHash)>,
     hall: HallId,
     next_attempt: AttemptId,
     /// The adapters and base models that the engine may hold, by the highest routing
@@ -85,9 +85,9 @@
     /// processed yet.
     pub(super) prefill_backlog: PrefillBacklog,
     /// Buckets of the workspaces that this agent owns.
-    limits: BucketOwner,
+    bucket_owner: BucketOwner,
     /// Permits for the runs of which this agent is the issuer.
-    pub(super) permits: PermitIssuer,
+    pub(super) permit_issuer: PermitIssuer,
     /// Crash reports known to this agent.
     crash_reports: Arc<CrashReports>,
     /// Requests that were running before this agent started, on adapters that the engine
@@ -150,7 +150,7 @@
         };
         Self {
             holder: cfg.process.vm.to_string(),
-            slots: EngineScheduler::new(limits),
+            scheduler: EngineScheduler::new(limits),
             commands,
             stats,
             entries: HashMap::new(),
@@ -170,10 +170,10 @@
             },
             prefill_backlog: PrefillBacklog::new(now, 0),
             waiting: HashMap::new(),
-            demand: RequestRates::default(),
+            request_rates: RequestRates::default(),
             hall: cfg.process.hall.clone(),
-            limits: BucketOwner::new(cfg.process.limits),
-            permits: PermitIssuer::default(),
+            bucket_owner: BucketOwner::new(cfg.process.limits),
+            permit_issuer: PermitIssuer::default(),
             crash_reports,
             unreported_requests: Vec::new(),
         }
@@ -308,7 +308,7 @@
             is_new_owner: req.joined,
         };
         let entry_count = self.entries.len().max(req.entries as usize);
-        let grants = self.limits.grant_units(
+        let grants = self.bucket_owner.grant_units(
             now,
             &UnitsRequest { serving_time, entry_count, units: &requests },
         );
@@ -334,7 +334,7 @@
                 false => permits::IssuerRole::Primary,
             },
         };
-        let wait_ms = match self.permits.request(now, &ask) {
+        let wait_ms = match self.permit_issuer.request(now, &ask) {
             PermitResponse::Granted => 0,
             PermitResponse::Denied(wait) => wait.as_millis().max(1) as u64,
         };
@@ -351,7 +351,7 @@
         self.holds.insert((number, hold.id), id);
         self.holds_by_attempt.insert(id, (number, hold.id));
         if hold.in_use {
-            if !self.slots.adopt_running(now, id, &target) {
+            if !self.scheduler.adopt_running(now, id, &target) {
                 self.unreported_requests.push((id, target));
             }
             return;
@@ -367,7 +367,7 @@
         let adapter = req.target.hash();
         self.waiting
             .insert(id, WaitingRequest { uncached_tokens: hold.unread_tokens, adapter });
-        if let Err(refusal) = self.slots.admit(now, id, req) {
+        if let Err(refusal) = self.scheduler.admit(now, id, req) {
             self.refuse(id, &refusal, &hold.request);
         }
     }
@@ -377,8 +377,8 @@
         self.holds_by_attempt.remove(&id);
         self.waiting.remove(&id);
         self.unreported_requests.retain(|(waiting, _)| *waiting != id);
-        if !self.slots.cancel(id) {
-            self.slots.record_request_end(now, id);
+        if !self.scheduler.cancel(id) {
+            self.scheduler.record_request_end(now, id);
         }
     }
 
@@ -400,7 +400,7 @@
 
     /// Carries out the actions of the slots; loads and unloads are queued for the driver.
     fn schedule(&mut self, now: Instant) {
-        for action in self.slots.schedule(now) {
+        for action in self.scheduler.schedule(now) {
             match action {
                 Action::Start(id) => self.grant(now, id),
                 Action::Refuse(id, refusal) => self.refuse(id, &refusal, ""),
@@ -439,7 +439,9 @@
         if entry.hall == self.hall {
             return false;
         }
-        should_load_in_hall(self.demand.record(now, &(entry.hall.clone(), adapter)))
+        should_load_in_hall(
+            self.request_rates.record(now, &(entry.hall.clone(), adapter)),
+        )
     }
 
     fn refuse(&mut self, id: AttemptId, refusal: &Refusal, request: &str) {
--- a/crates/larkspring/src/direct/agent/orders.rs
+++ b/crates/larkspring/src/direct/agent/orders.rs
@@ -74,7 +74,7 @@
         let expects_late_order =
             self.engine.late_order_until.is_some_and(|until| until > now);
         let free = usize::from(expects_late_order && slots > 1);
-        self.slots.set_adapter_slots(slots - free);
+        self.scheduler.set_adapter_slots(slots - free);
     }
 
     /// Gives the driver its next command, if the driver is idle.
@@ -127,10 +127,10 @@
     fn cancel_unneeded_loads(&mut self) {
         while let Some(Change::Load(target)) = self.queued_changes.front() {
             let may_be_accepted = self.engine.unanswered_load.as_ref() == Some(target);
-            if may_be_accepted || self.slots.demand(target).is_some() {
+            if may_be_accepted || self.scheduler.demand(target).is_some() {
                 return;
             }
-            self.slots.cancel_load(target);
+            self.scheduler.cancel_load(target);
             self.queued_changes.pop_front();
         }
     }
@@ -160,12 +160,12 @@
         if let (Some(run), Some(rate)) =
             (&self.engine.run_name, self.engine.availability.advertised_rate())
         {
-            self.permits.update_rate(now, run_hash(run), rate, Duration::ZERO);
+            self.permit_issuer.update_rate(now, run_hash(run), rate, Duration::ZERO);
         }
         if let Some(left) = self.engine.availability.remaining_backoff(now) {
             // Requests that wait for an adapter go to other engines; the next report
             // makes this engine available again.
-            self.slots.record_unreachable();
+            self.scheduler.record_unreachable();
             self.next_report_at = now + left;
         }
     }
@@ -188,7 +188,7 @@
             self.queued_changes.retain(|change| !is_applied(change, report));
             let queued = &self.queued_changes;
             let ordered = |t: &Target| !queued.iter().any(|c| affects(c, t));
-            let failed = self.slots.apply_current_report(
+            let failed = self.scheduler.apply_current_report(
                 now,
                 &run,
                 &report.adapters,
@@ -198,11 +198,11 @@
             for target in failed {
                 tracing::warn!(event = "load failed", adapter = %target);
             }
-            let slots = &mut self.slots;
+            let slots = &mut self.scheduler;
             self.unreported_requests
                 .retain(|(id, target)| !slots.adopt_running(now, *id, target));
         } else {
-            self.slots.record_base_loading(&run);
+            self.scheduler.record_base_loading(&run);
             self.load_base();
         }
         self.next_report_at = now + self.report_interval(now);
@@ -237,7 +237,7 @@
         if self.engine.report_failures == MAX_REPORT_FAILURES {
             logs::log_dependency("engine", false, cause);
             self.log_engine_lost(now);
-            self.slots.record_unreachable();
+            self.scheduler.record_unreachable();
         }
         self.next_report_at = now + REPORT_INTERVAL;
     }
@@ -281,7 +281,7 @@
         if let (Change::Load(target), Ok(OrderOutcome::UnderWay) | Err(_)) =
             (&order.change, &end)
         {
-            self.slots.record_load_order(now, target);
+            self.scheduler.record_load_order(now, target);
         }
         match (&order.change, &end) {
             (Change::Load(target), Err(_)) => {
@@ -297,9 +297,11 @@
                 self.engine.report.orders_taken += 1;
                 match &order.change {
                     Change::LoadBase(_) => self.next_report_at = now,
-                    Change::Load(target) => self.slots.record_load_end(now, target, true),
+                    Change::Load(target) => {
+                        self.scheduler.record_load_end(now, target, true)
+                    }
                     Change::Unload(target) => {
-                        self.slots.record_unload_end(now, target, true)
+                        self.scheduler.record_unload_end(now, target, true)
                     }
                 }
             }
@@ -324,10 +326,10 @@
                 match &order.change {
                     Change::LoadBase(_) => {}
                     Change::Load(target) => {
-                        self.slots.record_load_end(now, target, false)
+                        self.scheduler.record_load_end(now, target, false)
                     }
                     Change::Unload(target) => {
-                        self.slots.record_unload_end(now, target, false)
+                        self.scheduler.record_unload_end(now, target, false)
                     }
                 }
                 self.next_report_at = now;
@@ -378,7 +380,7 @@
         tracing::warn!(
             event = "engine lost",
             endpoint = self.engine.run_name.as_deref(),
-            held = self.slots.running(),
+            held = self.scheduler.running(),
             resident = self.engine.report.adapters.len(),
             pending = self.engine.report.pending.len(),
             places = self.declared.places,
--- a/crates/larkspring/src/direct/agent/publish.rs
+++ b/crates/larkspring/src/direct/agent/publish.rs
@@ -96,7 +96,7 @@
     }
 
     fn engine_state(&self, now: Instant) -> EngineState {
-        let (resident, loading) = self.slots.resident_and_loading();
+        let (resident, loading) = self.scheduler.resident_and_loading();
         EngineState {
             engagement: self.engagement(now).into(),
             resident: resident.into_iter().map(Target::hash).collect(),
@@ -134,9 +134,9 @@
         let before = old.resident.iter().chain(&old.loading);
         wire::State {
             engagement: new.engagement,
-            held: self.slots.running() as u32,
-            free_places: self.slots.free_adapter_slots() as u32,
-            loads_ahead: self.slots.queued_loads() as u32,
+            held: self.scheduler.running() as u32,
+            free_places: self.scheduler.free_adapter_slots() as u32,
+            loads_ahead: self.scheduler.queued_loads() as u32,
             entries: new.entries as u32,
             entries_in_hall: 0,
             whole: false,
--- a/crates/larkspring/src/direct/entry/attempt.rs
+++ b/crates/larkspring/src/direct/entry/attempt.rs
@@ -408,18 +408,18 @@
     .await;
 }
 
-fn log_attempt(job: &RequestHandler, peer: &Peer, end: AttemptStatus, cause: &str) {
+fn log_attempt(handler: &RequestHandler, peer: &Peer, end: AttemptStatus, cause: &str) {
     if logs::is_allowed(LineKind::Attempt) {
         let endpoint = peer.endpoint();
         tracing::info!(
             event = "attempt ended",
-            request = job.caller.id,
+            request = handler.caller.id,
             endpoint = %endpoint.id,
             addr = %endpoint.addr,
             end = end_name(end),
             cause,
-            content = logs::format_hash(job.fingerprint),
-            attempts = job.history.attempts + 1,
+            content = logs::format_hash(handler.fingerprint),
+            attempts = handler.history.attempts + 1,
         );
     }
 }
--- a/crates/larkspring/src/direct/entry/engine_state.rs
+++ b/crates/larkspring/src/direct/entry/engine_state.rs
@@ -27,7 +27,7 @@
     state: wire::State,
     resident: HashSet<TargetHash>,
     loading: HashSet<TargetHash>,
-    copies: HostCopies,
+    host_copies: HostCopies,
     prefill_backlog: Option<PrefillBacklog>,
     /// Granted holds of this entry at the time of the last state report.
     own_holds_at_report: u32,
@@ -144,7 +144,7 @@
             AdapterLocation::Resident
         } else if self.loading.contains(&target) {
             AdapterLocation::Loading
-        } else if self.copies.contains(target) {
+        } else if self.host_copies.contains(target) {
             AdapterLocation::HostMemory
         } else {
             AdapterLocation::WeightStore
@@ -183,7 +183,7 @@
         }
         for hash in state.loading.iter().chain(&state.gone) {
             if self.resident.remove(hash) {
-                self.copies.record_unload(*hash);
+                self.host_copies.record_unload(*hash);
             }
         }
         for hash in state.resident.iter().chain(&state.gone) {
@@ -193,7 +193,7 @@
         self.loading.extend(&state.loading);
         if state.engagement() == Engagement::Filling || (is_new && self.run.is_some()) {
             // Host-memory copies are lost with the run that made them.
-            self.copies.clear();
+            self.host_copies.clear();
         }
         if is_new {
             let id = state.run.as_str().into();
--- a/crates/larkspring/src/direct/entry/log.rs
+++ b/crates/larkspring/src/direct/entry/log.rs
@@ -43,29 +43,33 @@
             loads_ahead = inputs.map(|i| i.loads_ahead),
             chosen_of = inputs.map(|i| i.candidates),
             avoided = inputs.map(|i| i.avoided),
-            quality_ms = inputs.map(|i| i.quality.as_millis() as u64),
+            quality_ms = inputs.map(|i| i.failure_cost.as_millis() as u64),
         );
     }
 }
 
 /// Logs a request whose answer from an endpoint is delivered.
-pub(super) fn log_answered(job: &RequestHandler, endpoint: &Incarnation, status: u16) {
+pub(super) fn log_answered(
+    handler: &RequestHandler,
+    endpoint: &Incarnation,
+    status: u16,
+) {
     if logs::is_allowed(LineKind::Served) {
-        let inputs = job.inputs.as_ref();
-        let model = job.caller.model.as_ref();
-        let age = job.entry.replicated_state.store_age();
+        let inputs = handler.inputs.as_ref();
+        let model = handler.caller.model.as_ref();
+        let age = handler.entry.replicated_state.store_age();
         tracing::info!(
             event = "answered",
-            request = job.caller.id,
-            workspace = job.workspace_name(),
-            route = %job.route.name,
+            request = handler.caller.id,
+            workspace = handler.workspace_name(),
+            route = %handler.route.name,
             endpoint = %endpoint,
             status,
-            first_byte_ms = job.received.elapsed().as_millis() as u64,
-            objective_ms = job.route.first_byte_objective.as_millis() as u64,
-            waited_ms = job.waited.as_millis() as u64,
-            attempts = job.history.attempts + 1,
-            routing = job.routing.version,
+            first_byte_ms = handler.received.elapsed().as_millis() as u64,
+            objective_ms = handler.route.first_byte_objective.as_millis() as u64,
+            waited_ms = handler.waited.as_millis() as u64,
+            attempts = handler.history.attempts + 1,
+            routing = handler.routing.version,
             store_age_ms = age.map(|age| age.as_millis() as u64),
             same_hall = inputs.map(|i| i.same_hall),
             adapter = model.and_then(|m| m.adapter.as_deref()),
--- a/crates/larkspring/src/direct/entry/relay.rs
+++ b/crates/larkspring/src/direct/entry/relay.rs
@@ -29,7 +29,7 @@
 /// An answer that is being relayed.
 pub(super) struct Relay {
     /// The request, kept if the stream may be resumed at another endpoint.
-    job: Option<Box<RequestHandler>>,
+    handler: Option<Box<RequestHandler>>,
     crashes: Arc<CrashDetector>,
     id: String,
     fingerprint: ContentHash,
@@ -66,26 +66,26 @@
 impl Relay {
     /// Creates the relay of an answer; a resumable stream is relayed in whole events.
     pub fn new(
-        job: RequestHandler,
+        handler: RequestHandler,
         open: OpenAnswer,
         resumable: bool,
         is_success: bool,
     ) -> Self {
-        let events =
-            resumable.then(|| EventSplitter::resuming_after(job.resume_after.clone()));
+        let events = resumable
+            .then(|| EventSplitter::resuming_after(handler.resume_after.clone()));
         Self {
-            crashes: job.entry.crashes.clone(),
-            id: job.caller.id.clone(),
-            fingerprint: job.fingerprint,
+            crashes: handler.entry.crashes.clone(),
+            id: handler.caller.id.clone(),
+            fingerprint: handler.fingerprint,
             endpoint: open.selection.open_request.peer.endpoint().id.clone(),
             source: AnswerSource::Endpoint(Box::new(open)),
             events,
-            deadline: Timer::at(job.deadline),
+            deadline: Timer::at(handler.deadline),
             sent: 0,
             is_success,
-            pause: LongestPause::new(&job),
+            pause: LongestPause::new(&handler),
             // Frees the request's body, which only a resumed stream needs again.
-            job: resumable.then(|| Box::new(job)),
+            handler: resumable.then(|| Box::new(handler)),
         }
     }
 
@@ -193,20 +193,22 @@
         else {
             return Step::Interrupted(cause.into());
         };
-        let Some(mut job) = self.job.take() else {
+        let Some(mut handler) = self.handler.take() else {
             return Step::Interrupted(cause.into());
         };
         let peer = open.selection.open_request.peer.clone();
         // Closes the connection before the stream is resumed at another endpoint.
         drop(open);
         events.discard_partial();
-        job.resume_after = events.last_event_id.clone();
+        handler.resume_after = events.last_event_id.clone();
         peer.quality(|q| q.record_failure(Instant::now()));
-        if job.record_attempt(AttemptStatus::Unknown, &peer) != NextStep::RetryElsewhere {
+        if handler.record_attempt(AttemptStatus::Unknown, &peer)
+            != NextStep::RetryElsewhere
+        {
             return Step::Interrupted(cause.into());
         }
         if logs::is_allowed(LineKind::Attempt) {
-            let last = job.resume_after.as_deref();
+            let last = handler.resume_after.as_deref();
             tracing::info!(
                 event = "stream resumed",
                 request = self.id,
@@ -216,7 +218,7 @@
                 last,
             );
         }
-        self.source = AnswerSource::Resuming(Box::pin(resume(job)));
+        self.source = AnswerSource::Resuming(Box::pin(resume(handler)));
         Step::Continue
     }
 
@@ -224,10 +226,10 @@
         &mut self,
         resumed: Option<(Box<RequestHandler>, OpenAnswer)>,
     ) -> Step {
-        let Some((job, open)) = resumed else {
+        let Some((handler, open)) = resumed else {
             return Step::Interrupted("no other endpoint resumed the stream".into());
         };
-        self.job = Some(job);
+        self.handler = Some(handler);
         self.endpoint = open.selection.open_request.peer.endpoint().id.clone();
         self.source = AnswerSource::Endpoint(Box::new(open));
         Step::Continue
@@ -249,8 +251,8 @@
 }
 
 impl LongestPause {
-    fn new(job: &RequestHandler) -> Self {
-        let (entry, route) = (job.entry.clone(), job.route.clone());
+    fn new(handler: &RequestHandler) -> Self {
+        let (entry, route) = (handler.entry.clone(), handler.route.clone());
         Self { entry, route, last: Instant::now(), longest: Duration::ZERO }
     }
 
@@ -276,12 +278,12 @@
 
 /// Resumes a stream at another endpoint.
 async fn resume(
-    mut job: Box<RequestHandler>,
+    mut handler: Box<RequestHandler>,
 ) -> Option<(Box<RequestHandler>, OpenAnswer)> {
-    let answered = job.run_attempts().await.ok()?;
+    let answered = handler.run_attempts().await.ok()?;
     if !answered.head.status.is_success() {
         return None;
     }
     let open = answered.payload.err()?;
-    Some((job, open))
+    Some((handler, open))
 }
--- a/crates/larkspring/src/direct/entry/request_handler.rs
+++ b/crates/larkspring/src/direct/entry/request_handler.rs
@@ -163,7 +163,7 @@
     let name = workspace.as_ref().map(|w| &*w.name);
     let fingerprint = request_fingerprint(head.uri.path(), name, &body);
     let is_retry = body.is_fingerprinted() && entry.take_refusal(fingerprint);
-    let job = RequestHandler {
+    let handler = RequestHandler {
         fingerprint,
         is_retry,
         resume_after: caller.resume_after.clone(),
@@ -186,7 +186,7 @@
         received,
         deadline,
     };
-    job.run(done).await
+    handler.run(done).await
 }
 
 impl RequestHandler {
--- a/crates/larkspring/src/direct/entry/view.rs
+++ b/crates/larkspring/src/direct/entry/view.rs
@@ -107,7 +107,7 @@
     /// Number of endpoints that held the adapter, as far as known.
     pub holders: usize,
     /// The cost of the endpoint's recent failures in the selection.
-    pub quality: Duration,
+    pub failure_cost: Duration,
     /// Number of candidates.
     pub candidates: usize,
     /// Number of candidates to be avoided, such as those that could not be connected to.
@@ -131,7 +131,7 @@
                 .iter()
                 .filter(|v| v.adapter_location == AdapterLocation::Resident)
                 .count(),
-            quality: view.failure_cost,
+            failure_cost: view.failure_cost,
             candidates: views.len(),
             avoided: views.iter().filter(|v| v.avoided).count(),
         }
--- a/crates/larkspring/src/direct/entry/workspace_limits.rs
+++ b/crates/larkspring/src/direct/entry/workspace_limits.rs
@@ -35,7 +35,7 @@
 pub(super) struct Limits {
     replicated_state: Arc<ReplicatedState>,
     fleet: Arc<Fleet>,
-    accounts: Mutex<WorkspaceReservations<Sender<LimitDecision>>>,
+    reservations: Mutex<WorkspaceReservations<Sender<LimitDecision>>>,
     /// Grants this entry an even share while no agent is live.
     local_owner: Mutex<BucketOwner>,
     grants: Receiver<Vec<Grant>>,
@@ -74,7 +74,7 @@
         Arc::new(Self {
             replicated_state,
             fleet,
-            accounts: Mutex::new(WorkspaceReservations::new(terms)),
+            reservations: Mutex::new(WorkspaceReservations::new(terms)),
             local_owner: Mutex::new(BucketOwner::new(terms)),
             grants,
             skipped: Mutex::default(),
@@ -94,9 +94,9 @@
         let (tx, rx) = channel::bounded(1);
         let now = Instant::now();
         let (decided, due) = {
-            let mut accounts = self.accounts.lock();
-            let decided = accounts.admit(now, workspace, version, cost, tx);
-            (decided, accounts.needs_units_now(now, workspace))
+            let mut reservations = self.reservations.lock();
+            let decided = reservations.admit(now, workspace, version, cost, tx);
+            (decided, reservations.needs_units_now(now, workspace))
         };
         if due || decided.is_none() {
             self.wake.notify(usize::MAX);
@@ -110,12 +110,12 @@
 
     /// Returns the units of a request that has not run.
     pub fn return_units(&self, workspace: &Workspace, cost: f64) {
-        self.accounts.lock().return_units(Instant::now(), workspace, cost);
+        self.reservations.lock().return_units(Instant::now(), workspace, cost);
     }
 
     /// Returns the units reserved for each workspace.
     pub fn reserved(&self) -> Vec<(WorkspaceId, f64)> {
-        self.accounts.lock().reserved_units(Instant::now())
+        self.reservations.lock().reserved_units(Instant::now())
     }
 
     /// Requests units from bucket owners and applies their grants, until dropped.
@@ -129,7 +129,7 @@
             if now >= poll_at {
                 poll_at = now + POLL_INTERVAL;
             }
-            let next = self.accounts.lock().next_expiry();
+            let next = self.reservations.lock().next_expiry();
             let timer = async {
                 Timer::at(next.map_or(poll_at, |at| at.min(poll_at))).await;
                 None
@@ -146,7 +146,7 @@
     }
 
     fn apply_grants(&self, grants: &[Grant]) {
-        let decided = self.accounts.lock().apply_grants(Instant::now(), grants);
+        let decided = self.reservations.lock().apply_grants(Instant::now(), grants);
         notify(decided);
     }
 
@@ -155,9 +155,9 @@
     fn give_up_unanswered(&self, now: Instant) {
         let mut decided = Vec::new();
         let requested_at = {
-            let mut accounts = self.accounts.lock();
-            accounts.set_entry_count(self.entries());
-            accounts.expire_unanswered(now, &mut decided)
+            let mut reservations = self.reservations.lock();
+            reservations.set_entry_count(self.entries());
+            reservations.expire_unanswered(now, &mut decided)
         };
         notify(decided);
         // Units requested before the last change of owners were requested from the
@@ -178,7 +178,7 @@
 
     /// Sends the requested units of each group to its bucket owner in one message.
     fn request_units(&self, now: Instant, is_poll: bool) {
-        let requested = self.accounts.lock().units_to_request(now, is_poll);
+        let requested = self.reservations.lock().units_to_request(now, is_poll);
         if requested.is_empty() && !is_poll {
             return;
         }
@@ -216,7 +216,7 @@
         let serving_time =
             self.owners.lock().entry(group).or_default().record_request(now, owner);
         if serving_time.is_new_owner {
-            self.accounts.lock().record_owner_change();
+            self.reservations.lock().record_owner_change();
         }
         serving_time
     }
--- a/crates/larkspring/src/direct/replicated_state.rs
+++ b/crates/larkspring/src/direct/replicated_state.rs
@@ -25,7 +25,7 @@
     routing: ArcSwapOption<Routing>,
     proofs: [Mutex<Proof>; StateKind::ALL.len()],
     versions: ArcSwap<AdapterVersions>,
-    members: Mutex<EndpointList>,
+    endpoint_list: Mutex<EndpointList>,
     store: Mutex<StoreHealth>,
     changed: Event,
     store_recovered: Event,
@@ -60,7 +60,7 @@
             routing: ArcSwapOption::empty(),
             proofs: Default::default(),
             versions: ArcSwap::default(),
-            members: Mutex::default(),
+            endpoint_list: Mutex::default(),
             store: Mutex::default(),
             changed: Event::new(),
             store_recovered: Event::new(),
@@ -119,7 +119,7 @@
 
     /// Returns all endpoints that are not known to be gone.
     pub fn endpoints(&self) -> Vec<Arc<Endpoint>> {
-        self.members.lock().endpoints().cloned().collect()
+        self.endpoint_list.lock().endpoints().cloned().collect()
     }
 
     /// Notifies of the next change.
@@ -153,7 +153,7 @@
         if kind != StateKind::Endpoints {
             return self.apply_changes(now, listed);
         }
-        if self.members.lock().begin_epoch(listed.at) {
+        if self.endpoint_list.lock().begin_epoch(listed.at) {
             // Endpoints that joined after the backup are listed again soon, as after an
             // outage.
             self.store.lock().recovered_at = Some(now);
@@ -167,7 +167,7 @@
             }
         }
         let count = endpoints.len();
-        self.members.lock().replace(endpoints, keep_until);
+        self.endpoint_list.lock().replace(endpoints, keep_until);
         logs::log_state_change("endpoints listed", listed.at, count);
         self.changed.notify(usize::MAX);
     }
@@ -186,11 +186,11 @@
     /// Removes endpoints whose grace period has expired; returns the time of the next
     /// expiry.
     pub fn expire(&self, now: Instant) -> Option<Instant> {
-        let mut members = self.members.lock();
-        if members.expire(now) {
+        let mut endpoint_list = self.endpoint_list.lock();
+        if endpoint_list.expire(now) {
             self.changed.notify(usize::MAX);
         }
-        members.next_expiry()
+        endpoint_list.next_expiry()
     }
 
     /// Records that a call to the store failed.
@@ -235,14 +235,14 @@
             Item::Routing(routing) => self.apply_routing(*routing),
             Item::Endpoint(endpoint, written) => {
                 let (id, leaving) = (endpoint.id.clone(), endpoint.leaving);
-                let changed = self.members.lock().upsert(endpoint, written);
+                let changed = self.endpoint_list.lock().upsert(endpoint, written);
                 if changed && leaving && logs::is_allowed(LineKind::StateChange) {
                     tracing::info!(event = "endpoint leaving", endpoint = %id, epoch, revision);
                 }
             }
             Item::EndpointRemoved(id) => {
                 let keep_until = self.keep_until(now);
-                self.members.lock().remove(&id, keep_until);
+                self.endpoint_list.lock().remove(&id, keep_until);
                 if logs::is_allowed(LineKind::StateChange) {
                     let kept = keep_until.is_some();
                     tracing::info!(
@@ -274,7 +274,7 @@
             Item::Invalid { kind, name, cause } => {
                 if kind == StateKind::Endpoints {
                     // The endpoint's object was overwritten, so its address is unknown.
-                    self.members.lock().remove(&name.as_str().into(), None);
+                    self.endpoint_list.lock().remove(&name.as_str().into(), None);
                 }
                 if logs::is_allowed(LineKind::StateChange) {
                     let kind = kind.name();
