--- a/crates/larkspring-core/src/engine_scheduler.rs
+++ b/crates/larkspring-core/src/engine_scheduler.rs
@@ -38,7 +38,7 @@
     past_uses: HashMap<Target, UseCount>,
     /// Adapters of which the engine's VM has host-memory copies, so that no fetch is
     /// needed.
-    copies: HostCopies,
+    host_copies: HostCopies,
     fetch_window: FetchWindow,
     load_time: Duration,
     service_time: Duration,
@@ -114,7 +114,7 @@
     /// Creates the state of an engine without known adapters.
     pub fn new(limits: EngineLimits) -> Self {
         Self {
-            copies: HostCopies::default(),
+            host_copies: HostCopies::default(),
             fetch_window: FetchWindow::new(limits.max_loading),
             limits,
             incarnation: None,
@@ -195,7 +195,7 @@
             adapter.last_used = now;
             let spent = now.saturating_duration_since(since);
             self.load_time = moving_average(self.load_time, spent);
-            if !self.copies.contains(target.hash()) {
+            if !self.host_copies.contains(target.hash()) {
                 self.fetch_window.record_fetch(now, spent);
             }
             self.failures.remove(target);
@@ -238,7 +238,7 @@
         if let Some(adapter) = self.adapters.remove(target) {
             self.keep_uses(now, target, adapter.uses);
         }
-        self.copies.record_unload(target.hash());
+        self.host_copies.record_unload(target.hash());
         self.record_unload_end.insert(target.clone(), now);
     }
 
--- a/crates/larkspring-core/src/engine_scheduler/fresh.rs
+++ b/crates/larkspring-core/src/engine_scheduler/fresh.rs
@@ -41,7 +41,7 @@
         for target in &removed {
             if let Some(adapter) = self.adapters.remove(target) {
                 self.keep_uses(now, target, adapter.uses);
-                self.copies.record_unload(target.hash());
+                self.host_copies.record_unload(target.hash());
             }
         }
         for target in &failed {
@@ -100,7 +100,7 @@
     fn set_run(&mut self, run: &Incarnation) {
         if self.incarnation.as_ref() != Some(run) {
             self.adapters.clear();
-            self.copies.clear();
+            self.host_copies.clear();
             self.incarnation = Some(run.clone());
         }
     }
--- a/crates/larkspring-core/src/engine_scheduler/loads.rs
+++ b/crates/larkspring-core/src/engine_scheduler/loads.rs
@@ -55,12 +55,13 @@
     /// Whether a fetch of `target` may begin now. A load from a host-memory copy needs no
     /// fetch.
     fn may_fetch(&mut self, now: Instant, target: &Target) -> bool {
-        if !self.limits.limits_fetches || self.copies.contains(target.hash()) {
+        if !self.limits.limits_fetches || self.host_copies.contains(target.hash()) {
             return true;
         }
-        let copies = &self.copies;
-        let fetched =
-            |(t, a): &(&Target, &Residency)| a.is_loading() && !copies.contains(t.hash());
+        let host_copies = &self.host_copies;
+        let fetched = |(t, a): &(&Target, &Residency)| {
+            a.is_loading() && !host_copies.contains(t.hash())
+        };
         let fetching = self.adapters.iter().filter(fetched).count();
         self.fetch_window.is_open(now, fetching)
     }
--- a/crates/larkspring-core/src/fleet/choose.rs
+++ b/crates/larkspring-core/src/fleet/choose.rs
@@ -119,11 +119,11 @@
 /// serve it. `views` is in the order of [`rank_endpoints`].
 pub fn choose_for_adapter(
     views: &[EndpointView],
-    without: DisabledMechanisms,
+    disabled_mechanisms: DisabledMechanisms,
 ) -> Option<usize> {
     let can_serve =
         |v: &EndpointView| v.adapter_location == AdapterLocation::Resident || v.can_load;
-    let ranks = without.is_enabled(Mechanism::HomeRank);
+    let ranks = disabled_mechanisms.is_enabled(Mechanism::HomeRank);
     let cost =
         |rank: usize, v: &EndpointView| adapter_cost(if ranks { rank } else { 0 }, v);
     least_cost(views, can_serve, cost)
--- a/crates/larkspring-core/src/limits/reservations.rs
+++ b/crates/larkspring-core/src/limits/reservations.rs
@@ -125,7 +125,7 @@
 
     /// Decides on a request of `cost` units, or returns `None` if the request has to wait
     /// for an answer of the bucket owner. [`Self::apply_grants`] or [`Self::expire_unanswered`] then
-    /// returns the verdict.
+    /// returns the decision.
     pub fn admit(
         &mut self,
         now: Instant,
@@ -398,8 +398,8 @@
 
     fn refuse_waiting(&mut self, wait: Duration, decided: &mut Vec<(T, LimitDecision)>) {
         while let Some(next) = self.waiting.pop_front() {
-            let verdict = self.refuse(wait);
-            decided.push((next.request, verdict));
+            let decision = self.refuse(wait);
+            decided.push((next.request, decision));
         }
     }
 
@@ -425,8 +425,8 @@
             .is_some_and(|next| is_late(next.since, MAX_REQUEST_WAIT))
         {
             let Some(next) = self.waiting.pop_front() else { break };
-            let verdict = self.refuse(MIN_RETRY_AFTER);
-            decided.push((next.request, verdict));
+            let decision = self.refuse(MIN_RETRY_AFTER);
+            decided.push((next.request, decision));
         }
         Some(sent.at)
     }
--- a/crates/larkspring/src/direct/entry/attempt.rs
+++ b/crates/larkspring/src/direct/entry/attempt.rs
@@ -190,7 +190,7 @@
         selection: Selection,
         peer: &Arc<Peer>,
     ) -> AttemptOutcome {
-        let (end, e) = match result {
+        let (status, e) = match result {
             Ok((res, conn)) => {
                 return self.classify_answer(res, conn, selection, peer).await
             }
@@ -206,8 +206,8 @@
                 (AttemptStatus::Unknown, e)
             }
         };
-        log_attempt(self, peer, end, &e.to_string());
-        AttemptOutcome::NoAnswer(end)
+        log_attempt(self, peer, status, &e.to_string());
+        AttemptOutcome::NoAnswer(status)
     }
 
     /// Returns the metric label that tells first sends, retries and resumed streams
@@ -283,25 +283,25 @@
         }
         if status == StatusCode::MISDIRECTED_REQUEST {
             let same = answer_head.incarnation.is_none_or(|id| id == endpoint.id);
-            let end = if same {
+            let attempt_status = if same {
                 AttemptStatus::AdapterMissing
             } else {
                 AttemptStatus::EndpointReplaced
             };
-            if end == AttemptStatus::EndpointReplaced {
+            if attempt_status == AttemptStatus::EndpointReplaced {
                 self.entry.fleet.mark_gone(peer);
             }
             match (&peer.link, &selection.target) {
                 (Some(link), Some(target)) => link.record_missing(target.hash()),
                 // An engine that lacks its base model can't run any request for a while.
-                _ if end == AttemptStatus::AdapterMissing => {
+                _ if attempt_status == AttemptStatus::AdapterMissing => {
                     peer.quality(|q| q.record_unreachable(Instant::now()));
                 }
                 _ => {}
             }
-            log_attempt(self, peer, end, "misdirected");
+            log_attempt(self, peer, attempt_status, "misdirected");
             self.drain_refusal(conn, body, peer).await;
-            return AttemptOutcome::NoAnswer(end);
+            return AttemptOutcome::NoAnswer(attempt_status);
         }
         if answer_head.not_run {
             log_attempt(self, peer, AttemptStatus::Rejected, status.as_str());
@@ -408,7 +408,12 @@
     .await;
 }
 
-fn log_attempt(handler: &RequestHandler, peer: &Peer, end: AttemptStatus, cause: &str) {
+fn log_attempt(
+    handler: &RequestHandler,
+    peer: &Peer,
+    status: AttemptStatus,
+    cause: &str,
+) {
     if logs::is_allowed(LineKind::Attempt) {
         let endpoint = peer.endpoint();
         tracing::info!(
@@ -416,7 +421,7 @@
             request = handler.caller.id,
             endpoint = %endpoint.id,
             addr = %endpoint.addr,
-            end = end_name(end),
+            end = end_name(status),
             cause,
             content = logs::format_hash(handler.fingerprint),
             attempts = handler.history.attempts + 1,
@@ -425,8 +430,8 @@
 }
 
 /// Returns the name of an attempt's end in logs and metrics.
-pub(super) fn end_name(end: AttemptStatus) -> &'static str {
-    match end {
+pub(super) fn end_name(status: AttemptStatus) -> &'static str {
+    match status {
         AttemptStatus::Unsent => "unsent",
         AttemptStatus::Rejected => "rejected",
         AttemptStatus::EndpointReplaced => "moved",
--- a/crates/larkspring/src/direct/entry/link/permit.rs
+++ b/crates/larkspring/src/direct/entry/link/permit.rs
@@ -32,13 +32,13 @@
     /// Passes a reply to the request that awaits it. A late reply is dropped, and its
     /// permit expires.
     pub(super) fn receive_permit(&self, reply: &wire::PermitReply) {
-        let verdict = match reply.wait_ms {
+        let response = match reply.wait_ms {
             0 => PermitResponse::Granted,
             wait => PermitResponse::Denied(Duration::from_millis(wait)),
         };
         if let Some(tx) = self.pending_permits.lock().remove(&reply.id) {
             // The request may have ended meanwhile.
-            let _ = tx.try_send(verdict);
+            let _ = tx.try_send(response);
         }
     }
 }
--- a/crates/larkspring/src/direct/entry/permits.rs
+++ b/crates/larkspring/src/direct/entry/permits.rs
@@ -63,13 +63,13 @@
             age: now.saturating_duration_since(limit.updated_at()),
             issuer: IssuerRole::Primary,
         };
-        let verdict = self.request_verdict(peer, ask).await;
-        self.stats.count_permit(match verdict {
+        let response = self.request_from_issuers(peer, ask).await;
+        self.stats.count_permit(match response {
             Some(PermitResponse::Granted) => "granted",
             Some(PermitResponse::Denied(_)) => "denied",
             None => "unanswered",
         });
-        match verdict {
+        match response {
             Some(PermitResponse::Granted) => PermitOutcome::Granted(Permit::new()),
             Some(PermitResponse::Denied(wait)) => PermitOutcome::Denied(wait),
             None => PermitOutcome::Denied(NO_ISSUER_PAUSE),
@@ -78,23 +78,23 @@
 
     /// Requests a permit from the primary issuer of a run, then from the secondary if the
     /// primary does not reply. Issues the permit itself if no agent is known.
-    async fn request_verdict(
+    async fn request_from_issuers(
         &self,
         peer: &Peer,
         ask: PermitQuery,
     ) -> Option<PermitResponse> {
         let beside = peer.link.clone();
-        let first = beside.or_else(|| self.fleet.ranked_link(ask.run, None));
-        let Some(first) = first else {
+        let primary = beside.or_else(|| self.fleet.ranked_link(ask.run, None));
+        let Some(primary) = primary else {
             let ask = PermitQuery { issuer: IssuerRole::SelfIssued, ..ask };
             return Some(self.self_issuer.lock().request(Instant::now(), &ask));
         };
-        if let Some(verdict) = self.request_from_agent(&first, &ask).await {
-            return Some(verdict);
+        if let Some(response) = self.request_from_agent(&primary, &ask).await {
+            return Some(response);
         }
-        let second = self.fleet.ranked_link(ask.run, Some(&first))?;
+        let secondary = self.fleet.ranked_link(ask.run, Some(&primary))?;
         self.request_from_agent(
-            &second,
+            &secondary,
             &PermitQuery { issuer: IssuerRole::Secondary, ..ask },
         )
         .await
@@ -109,12 +109,12 @@
         if self.is_skipped(link.addr()) {
             return None;
         }
-        let verdict = link.request_permit(ask).await;
-        if verdict.is_none() {
+        let response = link.request_permit(ask).await;
+        if response.is_none() {
             let until = Instant::now() + SKIP_DURATION;
             self.skipped.lock().push((link.addr().into(), until));
         }
-        verdict
+        response
     }
 
     fn is_skipped(&self, addr: &str) -> bool {
--- a/crates/larkspring/src/direct/entry/select.rs
+++ b/crates/larkspring/src/direct/entry/select.rs
@@ -360,9 +360,11 @@
                 return Some(chosen);
             }
         }
-        let without = self.entry.cfg().disabled_mechanisms;
+        let disabled_mechanisms = self.entry.cfg().disabled_mechanisms;
         let at = match self.entry.cfg().placement {
-            PlacementPolicy::LeastCost => choose_for_adapter(&views, without)?,
+            PlacementPolicy::LeastCost => {
+                choose_for_adapter(&views, disabled_mechanisms)?
+            }
             PlacementPolicy::HomeEndpoint => views.iter().position(|v| v.can_load)?,
             PlacementPolicy::Random => choose_random(&views)?,
             PlacementPolicy::FewestRequests => least_running(&views)?,
--- a/crates/larkspring/src/direct/entry/view.rs
+++ b/crates/larkspring/src/direct/entry/view.rs
@@ -17,7 +17,7 @@
     /// Returns the view of an endpoint of a plain service.
     pub(super) fn plain_view(&self, now: Instant, peer: &Arc<Peer>) -> EndpointView {
         let endpoint = peer.endpoint();
-        let without = self.entry.cfg().disabled_mechanisms;
+        let disabled_mechanisms = self.entry.cfg().disabled_mechanisms;
         let quality = peer.quality(|q| q.cost(now));
         EndpointView {
             same_hall: endpoint.hall == self.entry.cfg().process.hall,
@@ -30,7 +30,7 @@
             loading_base: false,
             uncached_prompt_tokens: 0,
             prefill_backlog_tokens: peer.prefill_tokens(),
-            failure_cost: if without.is_enabled(Mechanism::Quality) {
+            failure_cost: if disabled_mechanisms.is_enabled(Mechanism::Quality) {
                 quality
             } else {
                 Duration::ZERO
@@ -58,8 +58,8 @@
         view.running = view.running.max(known.running);
         view.free_adapter_slots = known.free_adapter_slots;
         view.loads_ahead = known.loads_ahead;
-        let without = self.entry.cfg().disabled_mechanisms;
-        if without.is_enabled(Mechanism::BacklogReports) {
+        let disabled_mechanisms = self.entry.cfg().disabled_mechanisms;
+        if disabled_mechanisms.is_enabled(Mechanism::BacklogReports) {
             view.prefill_backlog_tokens =
                 view.prefill_backlog_tokens.max(known.prefill_backlog_tokens);
         }
@@ -73,7 +73,7 @@
         };
         view.adapter_location = match link.holding(target) {
             Some(AdapterLocation::HostMemory)
-                if !without.is_enabled(Mechanism::HostCopies) =>
+                if !disabled_mechanisms.is_enabled(Mechanism::HostCopies) =>
             {
                 AdapterLocation::WeightStore
             }
--- a/crates/larkspring/src/direct/entry/workspace_limits.rs
+++ b/crates/larkspring/src/direct/entry/workspace_limits.rs
@@ -102,7 +102,7 @@
             self.wake.notify(usize::MAX);
         }
         match decided {
-            Some(verdict) => verdict,
+            Some(decision) => decision,
             // The sender is dropped only with the whole entry.
             None => rx.recv().await.unwrap_or(LimitDecision::Refused(Duration::ZERO)),
         }
@@ -255,8 +255,8 @@
 }
 
 fn notify(decided: Vec<(Sender<LimitDecision>, LimitDecision)>) {
-    for (request, verdict) in decided {
+    for (request, decision) in decided {
         // The request may have ended meanwhile; its units then expire.
-        let _ = request.try_send(verdict);
+        let _ = request.try_send(decision);
     }
 }
