--- a/crates/larkspring/src/direct/agent/mod.rs
+++ b/crates/larkspring/src/direct/agent/mod.rs
@@ -2,8 +2,8 @@
 //! resident.
 //!
 //! 1. [`serve`]: accepts entries, each on one connection.
-//! 2. [`controller`]: decides with `core::slots` which adapters are loaded; one task owns the
-//!    state.
+//! 2. [`controller`]: decides with `core::engine_scheduler` which adapters are loaded; one
+//!    task owns the state.
 //! 3. [`orders`]: applies the engine's reports and issues the orders that follow.
 //! 4. [`publish`]: publishes the engine's state to the entries.
 //! 5. [`driver`]: requests the engine's reports and sends it orders, one at a time.
