--- a/crates/larkspring-core/tests/load_lost_orders.rs
+++ b/crates/larkspring-core/tests/load_lost_orders.rs
@@ -4,21 +4,21 @@
 
 use std::time::Duration;
 
-use larkspring_core::call_time::CallBounds;
+use larkspring_core::call_timeout::TimeoutBounds;
 use load::{simulate, Outcome, Scene};
 
 /// The first seconds of a day on which engines leave 3 in 10 orders unanswered. Every
 /// adapter slot is empty, 9 requests a second arrive for each engine (712 for 74), and an
 /// order is answered within 2 ms if at all.
 fn scene(seed: u64, least: u64) -> Scene {
-    let most = Duration::from_millis(250);
+    let longest = Duration::from_millis(250);
     Scene {
         seed,
         engines: 20,
         rate: 180.0,
         length: 5_000,
         lost_orders: 0.3,
-        answer: CallBounds { least: Duration::from_millis(least), most },
+        answer: TimeoutBounds { shortest: Duration::from_millis(least), longest },
     }
 }
 
--- a/crates/larkspring/src/direct/agent/mod.rs
+++ b/crates/larkspring/src/direct/agent/mod.rs
@@ -2,8 +2,8 @@
 //! resident.
 //!
 //! 1. [`serve`]: accepts entries, each on one connection.
-//! 2. [`controller`]: decides with `core::slots` which adapters are loaded; one task owns the
-//!    state.
+//! 2. [`controller`]: decides with `core::engine_scheduler` which adapters are loaded; one
+//!    task owns the state.
 //! 3. [`orders`]: applies the engine's reports and issues the orders that follow.
 //! 4. [`publish`]: publishes the engine's state to the entries.
 //! 5. [`driver`]: requests the engine's reports and sends it orders, one at a time.
@@ -29,19 +29,19 @@
 use self::controller::Controller;
 use self::state_cache::StateCache;
 use super::cfg::AgentCfg;
-use super::edge::{Directory, Protocol, QuarantineStore};
 use super::entry::StartError;
-use super::quarantine::Findings;
+use super::platform_api::{Protocol, QuarantineStore, StateStore};
+use super::quarantine::CrashReports;
 use super::stats::Stats;
-use super::{logs, side};
+use super::{logs, status_server};
 use crate::exec;
-use crate::rpc::serve::Stopper;
+use crate::rpc::serve::ShutdownHandle;
 
 /// A running agent.
 pub struct Agent {
     /// The address at which entries connect.
     pub addr: SocketAddr,
-    stopper: Stopper,
+    stopper: ShutdownHandle,
     _tasks: Vec<Task<()>>,
 }
 
@@ -53,7 +53,7 @@
     pub async fn start(
         cfg: AgentCfg,
         protocol: Arc<dyn Protocol>,
-        directory: Arc<dyn Directory>,
+        directory: Arc<dyn StateStore>,
         quarantine: Arc<dyn QuarantineStore>,
     ) -> Result<Self, StartError> {
         let listener = TcpListener::bind(cfg.listen).await;
@@ -64,16 +64,16 @@
         let (tx, rx) = channel::unbounded();
         let commands = driver::start(cfg.engine, protocol, stats.clone(), tx.clone());
         let metrics = cfg.process.metrics;
-        let findings = Arc::new(Findings::new(stats.clone()));
+        let crash_reports = Arc::new(CrashReports::new(stats.clone()));
         let state = StateCache::new(directory, stats.clone(), &cfg.process);
         let (metrics_stats, metrics_findings, metrics_state) =
-            (stats.clone(), findings.clone(), state.clone());
+            (stats.clone(), crash_reports.clone(), state.clone());
         let handler = move |_: &str| {
-            metrics_findings.show();
+            metrics_findings.write_metrics();
             metrics_state.write_metrics();
-            (StatusCode::OK, metrics_stats.text())
+            (StatusCode::OK, metrics_stats.encode())
         };
-        let served = side::serve(metrics, Arc::new(handler)).await;
+        let served = status_server::serve(metrics, Arc::new(handler)).await;
         let served = served.map_err(|e| StartError::Listen("metrics", metrics, e))?;
         tracing::info!(
             event = "start",
@@ -82,12 +82,12 @@
             addr = %addr,
             engine = %cfg.engine,
         );
-        let controller = Controller::new(&cfg, commands, stats, findings.clone());
+        let controller = Controller::new(&cfg, commands, stats, crash_reports.clone());
         let tasks = vec![
             served,
             exec::spawn(controller.run(rx)),
-            exec::spawn(quarantine_sync::run(quarantine, findings, tx.clone())),
-            exec::spawn(logs::report_left_out()),
+            exec::spawn(quarantine_sync::run(quarantine, crash_reports, tx.clone())),
+            exec::spawn(logs::log_dropped_lines()),
         ];
         let stopper = serve::start(listener, tx, state);
         Ok(Self { addr, stopper, _tasks: tasks })
--- a/crates/larkspring/src/direct/entry/log.rs
+++ b/crates/larkspring/src/direct/entry/log.rs
@@ -4,65 +4,72 @@
 
 use larkspring_core::ids::{ContentHash, Incarnation};
 
-use super::answer::Reason;
-use super::job::Job;
+use super::answer::ErrorReason;
+use super::request_handler::RequestHandler;
 use super::view::SelectionInputs;
-use super::Inner;
-use crate::direct::edge::{CallerRequest, Kind};
-use crate::direct::logs::{self, Line};
+use super::EntryState;
+use crate::direct::logs::{self, LineKind};
+use crate::direct::platform_api::{CallerRequest, StateKind};
 
 /// Logs a request that larkspring answered itself.
 pub(super) fn log_refused(
-    entry: &Inner,
+    entry: &EntryState,
     caller: &CallerRequest,
     workspace: Option<&str>,
-    reason: Reason,
+    reason: ErrorReason,
     since: Instant,
     inputs: Option<&SelectionInputs>,
     fingerprint: Option<ContentHash>,
 ) {
-    if logs::allows(Line::Unserved) {
+    if logs::is_allowed(LineKind::Failed) {
         tracing::warn!(
             event = "unserved",
             request = caller.id,
-            content = fingerprint.map(logs::hash),
+            content = fingerprint.map(logs::format_hash),
             workspace,
             reason = reason.name(),
             status = reason.status().as_u16(),
             took_ms = since.elapsed().as_millis() as u64,
-            routing = entry.beliefs.routing().map(|r| r.version),
-            routing_proof_age_ms =
-                entry.beliefs.proof_age(Kind::Routing).map(|age| age.as_millis() as u64),
-            store_age_ms = entry.beliefs.store_age().map(|age| age.as_millis() as u64),
+            routing = entry.replicated_state.routing().map(|r| r.version),
+            routing_proof_age_ms = entry
+                .replicated_state
+                .proof_age(StateKind::Routing)
+                .map(|age| age.as_millis() as u64),
+            store_age_ms =
+                entry.replicated_state.store_age().map(|age| age.as_millis() as u64),
             endpoint = inputs.map(|i| &*i.endpoint),
             holding = inputs.map(|i| i.holding),
             running = inputs.map(|i| i.running),
             loads_ahead = inputs.map(|i| i.loads_ahead),
             chosen_of = inputs.map(|i| i.candidates),
             avoided = inputs.map(|i| i.avoided),
-            quality_ms = inputs.map(|i| i.quality.as_millis() as u64),
+            quality_ms = inputs.map(|i| i.failure_cost.as_millis() as u64),
         );
     }
 }
 
 /// Logs a request whose answer from an endpoint is delivered.
-pub(super) fn log_answered(job: &Job, endpoint: &Incarnation, status: u16) {
-    if logs::allows(Line::Served) {
-        let inputs = job.inputs.as_ref();
-        let model = job.caller.model.as_ref();
-        let age = job.entry.beliefs.store_age();
+pub(super) fn log_answered(
+    handler: &RequestHandler,
+    endpoint: &Incarnation,
+    status: u16,
+) {
+    if logs::is_allowed(LineKind::Served) {
+        let inputs = handler.inputs.as_ref();
+        let model = handler.caller.model.as_ref();
+        let age = handler.entry.replicated_state.store_age();
         tracing::info!(
             event = "answered",
-            request = job.caller.id,
-            workspace = job.workspace_name(),
-            route = %job.route.name,
+            request = handler.caller.id,
+            workspace = handler.workspace_name(),
+            route = %handler.route.name,
             endpoint = %endpoint,
             status,
-            first_byte_ms = job.received.elapsed().as_millis() as u64,
-            objective_ms = job.route.objective.as_millis() as u64,
-            waited_ms = job.waited.as_millis() as u64,
-            attempts = job.history.attempts + 1,
-            routing = job.routing.version,
+            first_byte_ms = handler.received.elapsed().as_millis() as u64,
+            objective_ms = handler.route.first_byte_objective.as_millis() as u64,
+            waited_ms = handler.waited.as_millis() as u64,
+            attempts = handler.history.attempts + 1,
+            routing = handler.routing.version,
             store_age_ms = age.map(|age| age.as_millis() as u64),
             same_hall = inputs.map(|i| i.same_hall),
             adapter = model.and_then(|m| m.adapter.as_deref()),
@@ -70,9 +77,9 @@
             running = inputs.map(|i| i.running),
             loads_ahead = inputs.map(|i| i.loads_ahead),
             prompt_tokens = model.map(|m| m.prompt_tokens),
-            unread_tokens = inputs.map(|i| i.unread_tokens),
+            unread_tokens = inputs.map(|i| i.uncached_tokens),
             reading_tokens = inputs.map(|i| i.backlog_tokens),
-            free_places = inputs.map(|i| i.free_slots),
+            free_places = inputs.map(|i| i.free_adapter_slots),
             holders = inputs.map(|i| i.holders),
             chosen_of = inputs.map(|i| i.candidates),
         );
--- a/crates/larkspring/src/direct/entry/mod.rs
+++ b/crates/larkspring/src/direct/entry/mod.rs
@@ -1,36 +1,36 @@
 //! The entry: the process that callers connect to. It forwards requests directly to
 //! endpoints.
 //!
-//! 1. [`serve`]: caller connections, their limits and shutdown.
-//! 2. [`job`]: handling of one request; [`admit`] authenticates its caller, [`limits`]
-//!    enforces the limit of its workspace.
-//! 3. [`place`]: endpoint selection and the wait for the request's adapter.
+//! 1. [`connections`]: caller connections, their limits and shutdown.
+//! 2. [`request_handler`]: handling of one request; [`admission`] authenticates its caller,
+//!    [`workspace_limits`] enforces the limit of its workspace.
+//! 3. [`select`]: endpoint selection and the wait for the request's adapter.
 //! 4. [`attempt`]: sending to an endpoint and classification of the answer by its head.
 //! 5. [`relay`]: the answer's body; an interrupted stream is resumed at another endpoint.
 //! 6. [`notices`]: notices about endpoints in the headers of their answers.
 //! 7. [`permits`]: permits to send to rate-limited endpoints.
-//! 8. [`ends`]: detection of endpoint crashes and of the requests that cause them.
+//! 8. [`crashes`]: detection of endpoint crashes and of the requests that cause them.
 
-mod admit;
+mod admission;
 mod answer;
 mod attempt;
 mod body;
+mod connections;
+mod crashes;
 mod directory;
-mod ends;
-mod events;
+mod engine_state;
+mod event_splitter;
 mod fleet;
-mod job;
-mod known;
-mod limits;
 mod link;
 mod log;
 mod notices;
 mod peer;
 mod permits;
-mod place;
 mod relay;
-mod serve;
+mod request_handler;
+mod select;
 mod view;
+mod workspace_limits;
 
 use std::collections::HashMap;
 use std::io;
@@ -44,25 +44,25 @@
 use futures_lite::future;
 use http::StatusCode;
 use larkspring_core::ids::{ContentHash, ServiceId, TargetHash};
-use larkspring_core::retry::RepeatWindow;
+use larkspring_core::retry::RetryWindow;
 use parking_lot::Mutex;
 use quick_error::quick_error;
 use smol::net::TcpListener;
 use smol::{channel, Task, Timer};
 
+use self::crashes::CrashDetector;
 use self::directory::HallDirectory;
-use self::ends::CrashDetector;
 use self::fleet::Fleet;
-use self::limits::Limits;
 use self::link::{EntryIdentity, MessageSinks};
 use self::permits::Permits;
-use super::beliefs::Beliefs;
+use self::workspace_limits::Limits;
 use super::cfg::EntryCfg;
-use super::edge::{Directory, Kind, Protocol};
-use super::quarantine::Findings;
+use super::platform_api::{Protocol, StateKind, StateStore};
+use super::quarantine::CrashReports;
 use super::reader::StoreReader;
+use super::replicated_state::ReplicatedState;
 use super::stats::Stats;
-use super::{logs, side, watch};
+use super::{logs, status_server, watch};
 use crate::exec;
 
 quick_error! {
@@ -80,21 +80,21 @@
 pub struct Entry {
     /// The address on which callers are accepted.
     pub addr: SocketAddr,
-    inner: Arc<Inner>,
+    inner: Arc<EntryState>,
     tasks: Vec<Task<()>>,
 }
 
 /// The state shared by all requests of an entry.
-pub(super) struct Inner {
+pub(super) struct EntryState {
     cfg: ArcSwap<EntryCfg>,
     protocol: Arc<dyn Protocol>,
-    beliefs: Arc<Beliefs>,
+    replicated_state: Arc<ReplicatedState>,
     fleet: Arc<Fleet>,
     limits: Arc<Limits>,
     permits: Permits,
     crashes: Arc<CrashDetector>,
     stats: Arc<Stats>,
-    retry_budgets: Mutex<HashMap<ServiceId, RepeatWindow>>,
+    retry_budgets: Mutex<HashMap<ServiceId, RetryWindow>>,
     /// Adapters whose preloading was requested, with the time of the request.
     preloads: Mutex<HashMap<TargetHash, Instant>>,
     /// Requests refused with a retry time, with the time of the refusal.
@@ -138,28 +138,29 @@
     pub async fn start(
         cfg: EntryCfg,
         protocol: Arc<dyn Protocol>,
-        directory: Arc<dyn Directory>,
+        directory: Arc<dyn StateStore>,
     ) -> Result<Self, StartError> {
-        let beliefs = Arc::new(Beliefs::default());
+        let replicated_state = Arc::new(ReplicatedState::default());
         let stats = Arc::new(Stats::new());
         let identity =
             EntryIdentity { vm: cfg.process.vm.clone(), hall: cfg.process.hall.clone() };
         let (tx, grants) = channel::unbounded();
-        let findings = Arc::new(Findings::new(stats.clone()));
-        let sinks = MessageSinks { grants: tx, findings: findings.clone() };
-        let fleet = Fleet::new(beliefs.clone(), identity, cfg.process.agent_port, sinks);
-        let crashes = CrashDetector::new(fleet.clone(), findings, stats.clone());
+        let crash_reports = Arc::new(CrashReports::new(stats.clone()));
+        let sinks = MessageSinks { grants: tx, crash_reports: crash_reports.clone() };
+        let fleet =
+            Fleet::new(replicated_state.clone(), identity, cfg.process.agent_port, sinks);
+        let crashes = CrashDetector::new(fleet.clone(), crash_reports, stats.clone());
         let terms = cfg.process.limits;
-        let limits = Limits::new(terms, beliefs.clone(), fleet.clone(), grants);
+        let limits = Limits::new(terms, replicated_state.clone(), fleet.clone(), grants);
         let listener = TcpListener::bind(cfg.listen).await;
         let listener =
             listener.map_err(|e| StartError::Listen("callers", cfg.listen, e))?;
         let addr = listener.local_addr().unwrap_or(cfg.listen);
         let (readiness, metrics) = (cfg.readiness, cfg.process.metrics);
-        let inner = Arc::new(Inner {
+        let inner = Arc::new(EntryState {
             cfg: ArcSwap::from_pointee(cfg),
             protocol,
-            beliefs: beliefs.clone(),
+            replicated_state: replicated_state.clone(),
             fleet: fleet.clone(),
             limits: limits.clone(),
             permits: Permits::new(fleet.clone(), stats.clone()),
@@ -174,21 +175,22 @@
         let process = inner.cfg().process.clone();
         let store = StoreReader::new(directory, stats.clone());
         let directory = Arc::new(HallDirectory::new(store, fleet.clone(), &process));
-        let mut tasks = watch::follow(directory, beliefs, stats.clone(), &process);
+        let mut tasks =
+            watch::follow(directory, replicated_state, stats.clone(), &process);
         tasks.push(exec::spawn(limits.run()));
         tasks.push(exec::spawn(crashes.run()));
         tasks.push(exec::spawn(fleet.clone().follow()));
         tasks.push(exec::spawn(fleet.sweep()));
-        tasks.push(exec::spawn(logs::report_left_out()));
+        tasks.push(exec::spawn(logs::log_dropped_lines()));
         let ready = inner.clone();
         let answer = move |_: &str| (ready.readiness(), Vec::new());
-        let served = side::serve(readiness, Arc::new(answer)).await;
+        let served = status_server::serve(readiness, Arc::new(answer)).await;
         tasks.push(served.map_err(|e| StartError::Listen("readiness", readiness, e))?);
         let metered = inner.clone();
         let answer = move |_: &str| (StatusCode::OK, metered.metrics());
-        let served = side::serve(metrics, Arc::new(answer)).await;
+        let served = status_server::serve(metrics, Arc::new(answer)).await;
         tasks.push(served.map_err(|e| StartError::Listen("metrics", metrics, e))?);
-        tasks.push(exec::spawn(serve::accept(listener, inner.clone())));
+        tasks.push(exec::spawn(connections::accept(listener, inner.clone())));
         tracing::info!(
             event = "start",
             process = "entry",
@@ -201,7 +203,7 @@
     /// Applies changed settings, except for addresses, which need a restart.
     pub fn reload(&self, cfg: EntryCfg) {
         for window in self.inner.retry_budgets.lock().values_mut() {
-            window.set_terms(cfg.repeats);
+            window.set_terms(cfg.retries);
         }
         self.inner.cfg.store(Arc::new(cfg));
     }
@@ -234,7 +236,7 @@
     }
 }
 
-impl Inner {
+impl EntryState {
     /// Returns the current settings.
     fn cfg(&self) -> Guard<Arc<EntryCfg>> {
         self.cfg.load()
@@ -243,7 +245,7 @@
     /// Returns 200 while the routing and an endpoint are known, the API keys are fresh
     /// enough to authenticate with, and the entry is not stopping; 503 otherwise.
     fn readiness(&self) -> StatusCode {
-        let routing = self.beliefs.routing();
+        let routing = self.replicated_state.routing();
         let keys_fresh =
             routing.is_some_and(|r| r.workspaces.is_none() || self.has_fresh_keys());
         let is_routable = keys_fresh && !self.fleet.is_empty();
@@ -254,33 +256,35 @@
     }
 
     fn metrics(&self) -> Vec<u8> {
-        let unavailable_ms =
-            self.beliefs.store_away_since().map_or(0, |at| at.elapsed().as_millis());
-        let version = self.beliefs.routing().map_or(0, |r| r.version);
-        self.stats.state("routing_version", version as i64);
-        self.stats.state("store_away_ms", unavailable_ms as i64);
-        for kind in Kind::ALL {
-            self.stats.proof_age(kind.name(), self.beliefs.proof_age(kind));
+        let unavailable_ms = self
+            .replicated_state
+            .store_unavailable_since()
+            .map_or(0, |at| at.elapsed().as_millis());
+        let version = self.replicated_state.routing().map_or(0, |r| r.version);
+        self.stats.set_gauge("routing_version", version as i64);
+        self.stats.set_gauge("store_away_ms", unavailable_ms as i64);
+        for kind in StateKind::ALL {
+            self.stats.set_proof_age(kind.name(), self.replicated_state.proof_age(kind));
         }
         for (workspace, units) in self.limits.reserved() {
-            self.stats.reserved(&workspace, units as i64);
+            self.stats.set_reserved_units(&workspace, units as i64);
         }
         self.crashes.update_metrics();
-        self.stats.state("endpoints", self.fleet.len() as i64);
+        self.stats.set_gauge("endpoints", self.fleet.len() as i64);
         let connections = self.shutdown.connections.load(Ordering::Relaxed);
-        self.stats.state("caller_connections", connections as i64);
-        self.stats.text()
+        self.stats.set_gauge("caller_connections", connections as i64);
+        self.stats.encode()
     }
 
     /// Counts a request toward the retry budget that the service's entries share.
     fn count_request(&self, service: &ServiceId) {
         let mut retry_budgets = self.retry_budgets.lock();
-        let terms = self.cfg().repeats;
-        let fresh = || RepeatWindow::new(terms);
+        let terms = self.cfg().retries;
+        let fresh = || RetryWindow::new(terms);
         retry_budgets
             .entry(service.clone())
             .or_insert_with(fresh)
-            .request(Instant::now());
+            .record_request(Instant::now());
     }
 
     /// Takes one retry from the shared budget; `false` if the budget is used up.
@@ -288,7 +292,7 @@
         let (entries, _) = self.fleet.entry_counts();
         let mut retry_budgets = self.retry_budgets.lock();
         let window = retry_budgets.get_mut(service);
-        window.is_some_and(|w| w.repeat(Instant::now(), entries as usize))
+        window.is_some_and(|w| w.try_retry(Instant::now(), entries as usize))
     }
 
     /// Returns whether an adapter may be preloaded now, and if so records the request.
@@ -312,7 +316,7 @@
 /// Limits the number of refused requests that are remembered.
 const MAX_RECENT_REFUSALS: usize = 8192;
 
-impl Inner {
+impl EntryState {
     /// Records that a request was refused with a retry time.
     fn record_refusal(&self, fingerprint: ContentHash) {
         let now = Instant::now();
--- a/crates/larkspring/src/direct/entry/notices.rs
+++ b/crates/larkspring/src/direct/entry/notices.rs
@@ -6,12 +6,12 @@
 use http::response::Parts;
 
 use super::fleet::NoticeSource;
-use super::job::Job;
 use super::peer::Peer;
-use crate::direct::edge::{AnswerHead, Echo};
-use crate::direct::unknown::Place;
+use super::request_handler::RequestHandler;
+use crate::direct::platform_api::{AnswerHead, Echo};
+use crate::direct::unknown_names::NameSource;
 
-impl Job {
+impl RequestHandler {
     /// Applies the notice in an answer's headers to the endpoint.
     ///
     /// Ignores answers to other requests and answers of other runs at the address.
@@ -22,11 +22,11 @@
         head: &Parts,
         answer_head: &AnswerHead,
         peer: &Arc<Peer>,
-        asked: Instant,
+        sent_at: Instant,
     ) {
-        let unknown = self.entry.protocol.unknown_words(&head.headers);
-        self.entry.stats.unknown_words(Place::Answer, &unknown);
-        let notice = self.entry.protocol.notice(head.status, &head.headers);
+        let unknown = self.entry.protocol.unknown_names(&head.headers);
+        self.entry.stats.count_unknown_names(NameSource::Answer, &unknown);
+        let notice = self.entry.protocol.decode_notice(head.status, &head.headers);
         let of_run =
             answer_head.incarnation.as_ref().is_none_or(|id| *id == peer.endpoint().id);
         if answer_head.echo == Echo::Other || !of_run {
@@ -38,12 +38,12 @@
         // A missing rate ends a rate limit only if the answer is certainly the
         // endpoint's.
         let is_sure = answer_head.echo == Echo::Same;
-        let notice = if is_sure { notice } else { notice.without_silence() };
-        self.entry.stats.notice(notice);
+        let notice = if is_sure { notice } else { notice.ignoring_missing_rate() };
+        self.entry.stats.count_notice(notice);
         let (request, status) = (&*self.caller.id, head.status.as_u16());
         self.entry.fleet.apply_notice(
             peer,
-            asked,
+            sent_at,
             notice,
             NoticeSource::Answer { request, status },
         );
--- a/crates/larkspring/src/direct/entry/relay.rs
+++ b/crates/larkspring/src/direct/entry/relay.rs
@@ -12,24 +12,24 @@
 
 use bytes::Bytes;
 use hyper::body::{Body, SizeHint};
-use larkspring_core::fleet::attempt::{AttemptEnd, Next};
+use larkspring_core::fleet::attempt::{AttemptStatus, NextStep};
 use larkspring_core::fleet::routes::Route;
 use larkspring_core::ids::{ContentHash, Incarnation};
 use smol::Timer;
 
 use super::answer::RelayError;
 use super::attempt::OpenAnswer;
-use super::ends::CrashDetector;
-use super::events::EventSplitter;
-use super::job::Job;
-use super::Inner;
-use crate::direct::conn::cause_of;
-use crate::direct::logs::{self, Line};
+use super::crashes::CrashDetector;
+use super::event_splitter::EventSplitter;
+use super::request_handler::RequestHandler;
+use super::EntryState;
+use crate::direct::conn::error_with_source;
+use crate::direct::logs::{self, LineKind};
 
 /// An answer that is being relayed.
 pub(super) struct Relay {
     /// The request, kept if the stream may be resumed at another endpoint.
-    job: Option<Box<Job>>,
+    handler: Option<Box<RequestHandler>>,
     crashes: Arc<CrashDetector>,
     id: String,
     fingerprint: ContentHash,
@@ -46,7 +46,7 @@
 
 /// The longest pause between two chunks for the caller, recorded when the answer is over.
 struct LongestPause {
-    entry: Arc<Inner>,
+    entry: Arc<EntryState>,
     route: Arc<Route>,
     last: Instant,
     longest: Duration,
@@ -60,26 +60,32 @@
     Ended,
 }
 
-type Resume = Pin<Box<dyn Future<Output = Option<(Box<Job>, OpenAnswer)>> + Send>>;
+type Resume =
+    Pin<Box<dyn Future<Output = Option<(Box<RequestHandler>, OpenAnswer)>> + Send>>;
 
 impl Relay {
     /// Creates the relay of an answer; a resumable stream is relayed in whole events.
-    pub fn new(job: Job, open: OpenAnswer, resumable: bool, is_success: bool) -> Self {
-        let events =
-            resumable.then(|| EventSplitter::resuming_after(job.resume_after.clone()));
+    pub fn new(
+        handler: RequestHandler,
+        open: OpenAnswer,
+        resumable: bool,
+        is_success: bool,
+    ) -> Self {
+        let events = resumable
+            .then(|| EventSplitter::resuming_after(handler.resume_after.clone()));
         Self {
-            crashes: job.entry.crashes.clone(),
-            id: job.caller.id.clone(),
-            fingerprint: job.fingerprint,
+            crashes: handler.entry.crashes.clone(),
+            id: handler.caller.id.clone(),
+            fingerprint: handler.fingerprint,
             endpoint: open.selection.open_request.peer.endpoint().id.clone(),
             source: AnswerSource::Endpoint(Box::new(open)),
             events,
-            deadline: Timer::at(job.deadline),
+            deadline: Timer::at(handler.deadline),
             sent: 0,
             is_success,
-            pause: LongestPause::new(&job),
+            pause: LongestPause::new(&handler),
             // Frees the request's body, which only a resumed stream needs again.
-            job: resumable.then(|| Box::new(job)),
+            handler: resumable.then(|| Box::new(handler)),
         }
     }
 
@@ -148,7 +154,7 @@
                 }),
                 Err(_) => Step::Continue,
             },
-            Some(Err(e)) => self.handle_interruption(&cause_of(&e)),
+            Some(Err(e)) => self.handle_interruption(&error_with_source(&e)),
             None => self.handle_end(cx),
         })
     }
@@ -187,50 +193,55 @@
         else {
             return Step::Interrupted(cause.into());
         };
-        let Some(mut job) = self.job.take() else {
+        let Some(mut handler) = self.handler.take() else {
             return Step::Interrupted(cause.into());
         };
         let peer = open.selection.open_request.peer.clone();
         // Closes the connection before the stream is resumed at another endpoint.
         drop(open);
         events.discard_partial();
-        job.resume_after = events.last_event_id.clone();
-        peer.quality(|q| q.bad(Instant::now()));
-        if job.record_attempt(AttemptEnd::Unclear, &peer) != Next::Elsewhere {
+        handler.resume_after = events.last_event_id.clone();
+        peer.quality(|q| q.record_failure(Instant::now()));
+        if handler.record_attempt(AttemptStatus::Unknown, &peer)
+            != NextStep::RetryElsewhere
+        {
             return Step::Interrupted(cause.into());
         }
-        if logs::allows(Line::Attempt) {
-            let last = job.resume_after.as_deref();
+        if logs::is_allowed(LineKind::Attempt) {
+            let last = handler.resume_after.as_deref();
             tracing::info!(
                 event = "stream resumed",
                 request = self.id,
-                content = logs::hash(self.fingerprint),
+                content = logs::format_hash(self.fingerprint),
                 endpoint = %self.endpoint,
                 cause,
                 last,
             );
         }
-        self.source = AnswerSource::Resuming(Box::pin(resume(job)));
+        self.source = AnswerSource::Resuming(Box::pin(resume(handler)));
         Step::Continue
     }
 
-    fn resume_with(&mut self, resumed: Option<(Box<Job>, OpenAnswer)>) -> Step {
-        let Some((job, open)) = resumed else {
+    fn resume_with(
+        &mut self,
+        resumed: Option<(Box<RequestHandler>, OpenAnswer)>,
+    ) -> Step {
+        let Some((handler, open)) = resumed else {
             return Step::Interrupted("no other endpoint resumed the stream".into());
         };
-        self.job = Some(job);
+        self.handler = Some(handler);
         self.endpoint = open.selection.open_request.peer.endpoint().id.clone();
         self.source = AnswerSource::Endpoint(Box::new(open));
         Step::Continue
     }
 
     fn log(&self, cause: &str) {
-        if logs::allows(Line::Unserved) {
+        if logs::is_allowed(LineKind::Failed) {
             let sent = self.sent;
             tracing::warn!(
                 event = "answer broke off",
                 request = self.id,
-                content = logs::hash(self.fingerprint),
+                content = logs::format_hash(self.fingerprint),
                 endpoint = %self.endpoint,
                 cause,
                 sent,
@@ -240,8 +251,8 @@
 }
 
 impl LongestPause {
-    fn new(job: &Job) -> Self {
-        let (entry, route) = (job.entry.clone(), job.route.clone());
+    fn new(handler: &RequestHandler) -> Self {
+        let (entry, route) = (handler.entry.clone(), handler.route.clone());
         Self { entry, route, last: Instant::now(), longest: Duration::ZERO }
     }
 
@@ -254,7 +265,7 @@
 
 impl Drop for LongestPause {
     fn drop(&mut self) {
-        self.entry.stats.pause(&self.route.name, self.longest);
+        self.entry.stats.observe_pause(&self.route.name, self.longest);
     }
 }
 
@@ -266,11 +277,13 @@
 }
 
 /// Resumes a stream at another endpoint.
-async fn resume(mut job: Box<Job>) -> Option<(Box<Job>, OpenAnswer)> {
-    let answered = job.run_attempts().await.ok()?;
+async fn resume(
+    mut handler: Box<RequestHandler>,
+) -> Option<(Box<RequestHandler>, OpenAnswer)> {
+    let answered = handler.run_attempts().await.ok()?;
     if !answered.head.status.is_success() {
         return None;
     }
     let open = answered.payload.err()?;
-    Some((job, open))
+    Some((handler, open))
 }
--- a/crates/larkspring/src/direct/entry/limits.rs
+++ b/crates/larkspring/src/direct/entry/workspace_limits.rs
@@ -12,13 +12,15 @@
 
 use event_listener::Event;
 use futures_lite::future;
-use larkspring_core::fleet::choose::ranked;
+use larkspring_core::fleet::choose::rank_endpoints;
 use larkspring_core::fleet::routes::RoutingVersion;
 use larkspring_core::ids::{WorkspaceHash, WorkspaceId};
-use larkspring_core::limits::account::{Accounts, Verdict};
-use larkspring_core::limits::home::{Ask, Grant, Home, Want};
-use larkspring_core::limits::presence::{Presence, Told};
-use larkspring_core::limits::LimitTerms;
+use larkspring_core::limits::bucket_owner::{
+    BucketOwner, Grant, RequestedUnits, UnitsRequest,
+};
+use larkspring_core::limits::reservations::{LimitDecision, WorkspaceReservations};
+use larkspring_core::limits::serving_time::{ServingTime, ServingTimeTracker};
+use larkspring_core::limits::LimitTolerance;
 use larkspring_core::workspaces::Workspace;
 use parking_lot::Mutex;
 use smol::channel::{self, Receiver, Sender};
@@ -26,22 +28,22 @@
 
 use super::fleet::Fleet;
 use super::link::Link;
-use crate::direct::beliefs::Beliefs;
 use crate::direct::logs;
+use crate::direct::replicated_state::ReplicatedState;
 
 /// The state of the workspaces' limits in an entry.
 pub(super) struct Limits {
-    beliefs: Arc<Beliefs>,
+    replicated_state: Arc<ReplicatedState>,
     fleet: Arc<Fleet>,
-    accounts: Mutex<Accounts<Sender<Verdict>>>,
+    reservations: Mutex<WorkspaceReservations<Sender<LimitDecision>>>,
     /// Grants this entry an even share while no agent is live.
-    local_owner: Mutex<Home>,
+    local_owner: Mutex<BucketOwner>,
     grants: Receiver<Vec<Grant>>,
     /// Bucket owners that did not reply, with the time until which they get no requests.
     skipped: Mutex<Vec<(SocketAddr, Instant)>>,
     /// The current bucket owner of each group and since when it is the owner; `None` is
     /// this entry itself, while no agent is live.
-    owners: Mutex<HashMap<u64, Presence<Option<SocketAddr>>>>,
+    owners: Mutex<HashMap<u64, ServingTimeTracker<Option<SocketAddr>>>>,
     /// When bucket owners were last passed over.
     owners_changed_at: Mutex<Instant>,
     wake: Event,
@@ -64,16 +66,16 @@
     /// Creates limits without reserved units; `grants` receives the bucket owners'
     /// grants.
     pub fn new(
-        terms: LimitTerms,
-        beliefs: Arc<Beliefs>,
+        terms: LimitTolerance,
+        replicated_state: Arc<ReplicatedState>,
         fleet: Arc<Fleet>,
         grants: Receiver<Vec<Grant>>,
     ) -> Arc<Self> {
         Arc::new(Self {
-            beliefs,
+            replicated_state,
             fleet,
-            accounts: Mutex::new(Accounts::new(terms)),
-            local_owner: Mutex::new(Home::new(terms)),
+            reservations: Mutex::new(WorkspaceReservations::new(terms)),
+            local_owner: Mutex::new(BucketOwner::new(terms)),
             grants,
             skipped: Mutex::default(),
             owners: Mutex::default(),
@@ -88,32 +90,32 @@
         workspace: &Workspace,
         version: RoutingVersion,
         cost: f64,
-    ) -> Verdict {
+    ) -> LimitDecision {
         let (tx, rx) = channel::bounded(1);
         let now = Instant::now();
         let (decided, due) = {
-            let mut accounts = self.accounts.lock();
-            let decided = accounts.enter(now, workspace, version, cost, tx);
-            (decided, accounts.is_due(now, workspace))
+            let mut reservations = self.reservations.lock();
+            let decided = reservations.admit(now, workspace, version, cost, tx);
+            (decided, reservations.needs_units_now(now, workspace))
         };
         if due || decided.is_none() {
             self.wake.notify(usize::MAX);
         }
         match decided {
-            Some(verdict) => verdict,
+            Some(decision) => decision,
             // The sender is dropped only with the whole entry.
-            None => rx.recv().await.unwrap_or(Verdict::Refused(Duration::ZERO)),
+            None => rx.recv().await.unwrap_or(LimitDecision::Refused(Duration::ZERO)),
         }
     }
 
     /// Returns the units of a request that has not run.
     pub fn return_units(&self, workspace: &Workspace, cost: f64) {
-        self.accounts.lock().give_back(Instant::now(), workspace, cost);
+        self.reservations.lock().return_units(Instant::now(), workspace, cost);
     }
 
     /// Returns the units reserved for each workspace.
     pub fn reserved(&self) -> Vec<(WorkspaceId, f64)> {
-        self.accounts.lock().reserved(Instant::now())
+        self.reservations.lock().reserved_units(Instant::now())
     }
 
     /// Requests units from bucket owners and applies their grants, until dropped.
@@ -127,7 +129,7 @@
             if now >= poll_at {
                 poll_at = now + POLL_INTERVAL;
             }
-            let next = self.accounts.lock().next_at();
+            let next = self.reservations.lock().next_expiry();
             let timer = async {
                 Timer::at(next.map_or(poll_at, |at| at.min(poll_at))).await;
                 None
@@ -144,7 +146,7 @@
     }
 
     fn apply_grants(&self, grants: &[Grant]) {
-        let decided = self.accounts.lock().granted(Instant::now(), grants);
+        let decided = self.reservations.lock().apply_grants(Instant::now(), grants);
         notify(decided);
     }
 
@@ -152,22 +154,22 @@
     /// long for them, and passes over the bucket owners.
     fn give_up_unanswered(&self, now: Instant) {
         let mut decided = Vec::new();
-        let asked = {
-            let mut accounts = self.accounts.lock();
-            accounts.set_entries(self.entries());
-            accounts.unanswered(now, &mut decided)
+        let requested_at = {
+            let mut reservations = self.reservations.lock();
+            reservations.set_entry_count(self.entries());
+            reservations.expire_unanswered(now, &mut decided)
         };
         notify(decided);
         // Units requested before the last change of owners were requested from the
         // previous owners.
         let mut changed = self.owners_changed_at.lock();
-        if asked.is_none_or(|asked| asked <= *changed) {
+        if requested_at.is_none_or(|requested_at| requested_at <= *changed) {
             return;
         }
         *changed = now;
         for group in 0..self.groups() {
             let Some((owner, _)) = self.owner(now, group) else { continue };
-            if logs::allows(logs::Line::Belief) {
+            if logs::is_allowed(logs::LineKind::StateChange) {
                 tracing::info!(event = "home of limits passed over", agent = %owner);
             }
             self.skipped.lock().push((owner, now + SKIP_DURATION));
@@ -176,39 +178,47 @@
 
     /// Sends the requested units of each group to its bucket owner in one message.
     fn request_units(&self, now: Instant, is_poll: bool) {
-        let wants = self.accounts.lock().wants(now, is_poll);
-        if wants.is_empty() && !is_poll {
+        let requested = self.reservations.lock().units_to_request(now, is_poll);
+        if requested.is_empty() && !is_poll {
             return;
         }
         let groups = self.groups();
         for group in 0..groups {
-            let of_group = |w: &&Want| group_of(w.workspace, groups) == group;
-            let wants: Vec<_> = wants.iter().filter(of_group).copied().collect();
-            if wants.is_empty() && !is_poll {
+            let of_group = |w: &&RequestedUnits| group_of(w.workspace, groups) == group;
+            let requested: Vec<_> = requested.iter().filter(of_group).copied().collect();
+            if requested.is_empty() && !is_poll {
                 continue;
             }
             let owner = self.owner(now, group);
-            let presence =
-                self.presence(now, group, owner.as_ref().map(|(addr, _)| *addr));
-            let entries = self.entries() as usize;
-            let ask = Ask { told: presence, entries, wants: &wants };
+            let serving_time =
+                self.serving_time(now, group, owner.as_ref().map(|(addr, _)| *addr));
+            let entry_count = self.entries() as usize;
+            let ask = UnitsRequest { serving_time, entry_count, units: &requested };
             match owner {
                 // A request for units that can't be sent is later treated as unanswered.
                 Some((_, link)) => drop(link.request_units(&ask)),
-                None => self.apply_grants(&self.local_owner.lock().ask(now, &ask)),
+                None => {
+                    self.apply_grants(&self.local_owner.lock().grant_units(now, &ask))
+                }
             }
         }
     }
 
-    /// Returns the presence that a request to a bucket owner reports. After a change of
+    /// Returns the serving time that a request to a bucket owner reports. After a change of
     /// the owner, units from the previous owner stay usable but are not returned to the
     /// new one.
-    fn presence(&self, now: Instant, group: u64, owner: Option<SocketAddr>) -> Told {
-        let presence = self.owners.lock().entry(group).or_default().ask(now, owner);
-        if presence.joined {
-            self.accounts.lock().home_changed();
+    fn serving_time(
+        &self,
+        now: Instant,
+        group: u64,
+        owner: Option<SocketAddr>,
+    ) -> ServingTime {
+        let serving_time =
+            self.owners.lock().entry(group).or_default().record_request(now, owner);
+        if serving_time.is_new_owner {
+            self.reservations.lock().record_owner_change();
         }
-        presence
+        serving_time
     }
 
     /// Returns the number of entries that share the limits. Without a live agent the
@@ -224,7 +234,7 @@
     /// Returns the number of workspace groups, each with a bucket owner; 0 without
     /// workspaces.
     fn groups(&self) -> u64 {
-        let routing = self.beliefs.routing();
+        let routing = self.replicated_state.routing();
         let workspaces = routing.as_ref().and_then(|r| r.workspaces.as_ref());
         workspaces.map_or(0, |w| w.count().div_ceil(GROUP_SIZE) as u64)
     }
@@ -235,7 +245,7 @@
         let links = self.fleet.live_links().into_iter();
         let asked = links.filter(|(addr, _)| skipped.iter().all(|(out, _)| out != addr));
         let named = asked.map(|(addr, link)| (addr.to_string().into(), addr, link));
-        let ranked = ranked(group, named.collect(), |(name, _, _)| name);
+        let ranked = rank_endpoints(group, named.collect(), |(name, _, _)| name);
         ranked.into_iter().next().map(|(_, addr, link)| (addr, link))
     }
 }
@@ -244,9 +254,9 @@
     workspace % groups.max(1)
 }
 
-fn notify(decided: Vec<(Sender<Verdict>, Verdict)>) {
-    for (request, verdict) in decided {
+fn notify(decided: Vec<(Sender<LimitDecision>, LimitDecision)>) {
+    for (request, decision) in decided {
         // The request may have ended meanwhile; its units then expire.
-        let _ = request.try_send(verdict);
+        let _ = request.try_send(decision);
     }
 }
