--- a/crates/larkspring-proto/src/codec.rs
+++ b/crates/larkspring-proto/src/codec.rs
@@ -1,7 +1,7 @@
-//! The codec of the calls: protobuf with small buffers.
+//! Protobuf codec for calls, with small initial buffers.
 //!
-//! The usual codec begins each direction of each call with 8 KB, which is most of what an
-//! open answer would hold.
+//! Tonic's default codec allocates 8 KB for each direction of each call, which would be
+//! most of the memory of an open stream.
 
 use std::marker::PhantomData;
 
@@ -9,15 +9,15 @@
 use tonic::codec::{BufferSettings, Codec};
 use tonic_prost::{ProstCodec, ProstDecoder, ProstEncoder};
 
-/// Protobuf messages `T` out and `U` in.
+/// A codec that encodes messages of type `T` and decodes messages of type `U`.
 #[derive(Debug, Clone)]
 pub struct SmallCodec<T, U> {
     messages: PhantomData<(T, U)>,
 }
 
-/// Bytes of a buffer at its beginning; it grows as messages need.
+/// Initial size of a buffer in bytes; the buffer grows with the messages.
 const BUFFER: usize = 512;
-/// Bytes that are gathered before they are sent on.
+/// Number of encoded bytes that are collected before they are sent.
 const YIELD: usize = 8 * 1024;
 
 impl<T, U> Default for SmallCodec<T, U> {
--- a/crates/larkspring-proto/src/gen/larkspring.residency.rs
+++ b/crates/larkspring-proto/src/gen/larkspring.residency.rs
@@ -3,13 +3,14 @@
 pub struct ReadRequest {
     #[prost(enumeration = "Kind", tag = "1")]
     pub kind: i32,
-    /// What changed after this revision is asked for; everything if it is 0.
+    /// Revision after which changes are requested; 0 requests the whole state.
     #[prost(uint64, tag = "2")]
     pub after: u64,
-    /// How long to wait for a change.
+    /// Maximum time to wait for a change.
     #[prost(uint64, tag = "3")]
     pub wait_ms: u64,
-    /// Epoch of the store's history that the revision is of; the reader's own if it is missing.
+    /// Epoch of the store's history to which the revision belongs; the reader's own epoch if
+    /// missing.
     #[prost(uint64, optional, tag = "4")]
     pub epoch: ::core::option::Option<u64>,
 }
@@ -17,10 +18,10 @@
 pub struct ReadReply {
     #[prost(uint64, tag = "1")]
     pub revision: u64,
-    /// Whether everything follows, and not only what changed.
+    /// Whether the reply holds the whole state instead of the changes alone.
     #[prost(bool, tag = "2")]
     pub whole: bool,
-    /// Answers of the platform's store as they came: pages of a list, then changes in order.
+    /// Unmodified answers of the platform's store: pages of a list, then changes in order.
     #[prost(bytes = "bytes", repeated, tag = "3")]
     pub pages: ::prost::alloc::vec::Vec<::prost::bytes::Bytes>,
     #[prost(bytes = "bytes", repeated, tag = "4")]
@@ -28,14 +29,14 @@
     /// Time since the store last answered the agent.
     #[prost(uint64, tag = "5")]
     pub age_ms: u64,
-    /// Time since the agent sent the store the last call for this kind that was answered: the
-    /// store held nothing newer then.
+    /// Age of the freshness proof: time since the agent sent the last answered call for this
+    /// kind to the store. The store held nothing newer at that time.
     #[prost(uint64, tag = "6")]
     pub proof_age_ms: u64,
-    /// Time between the agent's receiving the request and this reply.
+    /// Time from the agent's receipt of the request to this reply.
     #[prost(uint64, tag = "7")]
     pub held_ms: u64,
-    /// Epoch of the store's history that the revision is of.
+    /// Epoch of the store's history to which the revision belongs.
     #[prost(uint64, tag = "8")]
     pub epoch: u64,
 }
@@ -66,25 +67,28 @@
         Permit(super::PermitAsk),
     }
 }
-/// Asks for leave to send one request to a run that takes a limited rate from all VMs.
+/// Requests a permit to send one request to a run that advertises a rate limit for all VMs
+/// together.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct PermitAsk {
-    /// Number of the ask on this connection.
+    /// Id of the permit request, unique on this connection.
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    /// Hash of the run's name.
+    /// Hash of the name of the run.
     #[prost(fixed64, tag = "2")]
     pub run: u64,
-    /// The rate in thousandths of requests a second, and how long ago the run told it.
+    /// Advertised rate in thousandths of requests a second, and time since the run
+    /// advertised the rate.
     #[prost(uint64, tag = "3")]
     pub rate_millis: u64,
     #[prost(uint64, tag = "4")]
     pub age_ms: u64,
-    /// Whether the process that grants for the run has not answered.
+    /// Whether the primary permit issuer of the run did not reply, and the receiver issues
+    /// as the secondary.
     #[prost(bool, tag = "5")]
     pub second: bool,
 }
-/// Endpoints ended while they ran requests of these contents.
+/// Reports crashes of endpoints that were running requests.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct EndedUnder {
     #[prost(message, repeated, tag = "1")]
@@ -92,18 +96,18 @@
 }
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct End {
-    /// Hashes of what the request asks, and of the run that ended with the attempt there.
+    /// Fingerprint of the request, and hash of the crashed run together with the attempt.
     #[prost(fixed64, tag = "1")]
     pub content: u64,
     #[prost(fixed64, tag = "2")]
     pub attempt: u64,
-    /// Time since the request was sent there, and since the run ended.
+    /// Time since the request was sent to the endpoint, and time since the crash.
     #[prost(uint64, tag = "3")]
     pub began_ms: u64,
     #[prost(uint64, tag = "4")]
     pub age_ms: u64,
 }
-/// What is known of contents under which endpoints ended.
+/// Crash reports on request fingerprints.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Findings {
     #[prost(message, repeated, tag = "1")]
@@ -113,24 +117,26 @@
 pub struct Finding {
     #[prost(fixed64, tag = "1")]
     pub content: u64,
-    /// Ends that count; 0 if an answer came to its end, so that nothing is held against it.
+    /// Number of counted crashes; 0 if a complete answer cleared the fingerprint.
     #[prost(uint32, tag = "2")]
     pub ends: u32,
     #[prost(uint64, tag = "3")]
     pub age_ms: u64,
 }
-/// Asks the home of some workspaces for units that their requests are about to use. Sent
-/// several times a second also without wants: buckets fill with the time of those who ask.
+/// Requests units of workspaces' limits from their bucket owner. Sent several times a
+/// second, also without wants, because buckets refill by the serving time that entries
+/// report.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Reserve {
     #[prost(message, repeated, tag = "1")]
     pub wants: ::prost::alloc::vec::Vec<Want>,
-    /// Time since the last ask of any home, and whether that was another home.
+    /// Time since the previous request for units, and whether the previous request went to
+    /// another bucket owner or there was none.
     #[prost(uint64, tag = "2")]
     pub told_ms: u64,
     #[prost(bool, tag = "3")]
     pub joined: bool,
-    /// Entries that the sender knows of.
+    /// Number of entries known to the sender.
     #[prost(uint32, tag = "4")]
     pub entries: u32,
 }
@@ -139,31 +145,32 @@
     /// Hash of the workspace's name.
     #[prost(fixed64, tag = "1")]
     pub workspace: u64,
-    /// Units that were used before they were granted, and such as were granted by this home
-    /// and not used.
+    /// Units that were used before they were granted, and units that this bucket owner
+    /// granted and that expired unused.
     #[prost(uint64, tag = "8")]
     pub debt: u64,
     #[prost(uint64, tag = "9")]
     pub returned: u64,
-    /// Units that waiting requests need, the first of them, and units ahead of requests.
+    /// Units that the waiting requests need, units that the first of these needs, and units
+    /// to reserve ahead of requests.
     #[prost(uint64, tag = "2")]
     pub need: u64,
     #[prost(uint64, tag = "3")]
     pub first: u64,
     #[prost(uint64, tag = "4")]
     pub ahead: u64,
-    /// What the workspace may use over all entries: units a second, and at once.
+    /// Limit of the workspace over all entries: rate in units a second, and burst in units.
     #[prost(uint64, tag = "5")]
     pub per_sec: u64,
     #[prost(uint64, tag = "6")]
     pub burst: u64,
     #[prost(uint64, tag = "7")]
     pub routing_version: u64,
-    /// Number of the ask, which its grant repeats.
+    /// Sequence number, which the grant repeats.
     #[prost(uint64, tag = "10")]
     pub ask: u64,
 }
-/// Who follows.
+/// Identifies the entry.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Hello {
     #[prost(string, tag = "1")]
@@ -171,10 +178,11 @@
     #[prost(string, tag = "2")]
     pub hall: ::prost::alloc::string::String,
 }
-/// Keeps an adapter loaded, after loading it if needed, until it is released.
+/// Requests that the agent loads an adapter, if needed, and keeps the adapter loaded until
+/// the hold is released.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Hold {
-    /// Number of the hold on this connection.
+    /// Id of the hold, unique on this connection.
     #[prost(uint64, tag = "1")]
     pub id: u64,
     #[prost(string, tag = "2")]
@@ -184,22 +192,23 @@
     /// 0 is the most urgent.
     #[prost(uint32, tag = "4")]
     pub priority: u32,
-    /// How long the entry waits for the adapter, in milliseconds.
+    /// Maximum time that the entry waits for the adapter, in milliseconds.
     #[prost(uint64, tag = "5")]
     pub wait_ms: u64,
-    /// Whether a request uses the adapter already, sent before the connection was opened.
+    /// Whether a request that was sent before the connection was opened already uses the
+    /// adapter.
     #[prost(bool, tag = "6")]
     pub in_use: bool,
-    /// Request that it is for, for logs; empty for a copy made ahead of requests.
+    /// Id of the request, for logs; empty if the adapter is loaded ahead of requests.
     #[prost(string, tag = "7")]
     pub request: ::prost::alloc::string::String,
-    /// Tokens of its prompt that the engine has probably not read before.
+    /// Tokens of the request's prompt that the engine probably has to prefill.
     #[prost(uint32, tag = "8")]
     pub unread_tokens: u32,
-    /// What an answer in time is worth against that to a prompt without tokens.
+    /// Utility of an answer in time, relative to the answer to a prompt without tokens.
     #[prost(double, tag = "9")]
     pub worth: f64,
-    /// For how long the adapter may take until the answer begins late, in milliseconds.
+    /// Load time with which the answer can still begin in time, in milliseconds.
     #[prost(uint64, tag = "10")]
     pub in_time_ms: u64,
 }
@@ -208,7 +217,7 @@
     #[prost(uint64, tag = "1")]
     pub id: u64,
 }
-/// What the engine may hold, as declared in a version of the routing.
+/// The engine's adapter slots and base models, as declared in a version of the routing.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Engine {
     #[prost(uint64, tag = "1")]
@@ -217,7 +226,7 @@
     pub places: u64,
     #[prost(string, repeated, tag = "3")]
     pub bases: ::prost::alloc::vec::Vec<::prost::alloc::string::String>,
-    /// Path at which the engine tells its run.
+    /// Path at which the engine reports its run.
     #[prost(string, tag = "4")]
     pub health_path: ::prost::alloc::string::String,
 }
@@ -244,16 +253,16 @@
         Permitted(super::PermitReply),
     }
 }
-/// Answers a PermitAsk.
+/// Reply to a `PermitAsk`.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct PermitReply {
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    /// Time until a permit may be there, in milliseconds; 0 if it is granted.
+    /// Time until a permit may be available, in milliseconds; 0 if the permit is granted.
     #[prost(uint64, tag = "2")]
     pub wait_ms: u64,
 }
-/// What a home grants, for each want.
+/// Grants of a bucket owner, one for each want.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Reserved {
     #[prost(message, repeated, tag = "1")]
@@ -265,7 +274,7 @@
     pub workspace: u64,
     #[prost(uint64, tag = "2")]
     pub units: u64,
-    /// Time until the rest of the need is there.
+    /// Time until the bucket has the remaining units.
     #[prost(uint64, tag = "3")]
     pub wait_ms: u64,
     #[prost(uint64, tag = "4")]
@@ -276,8 +285,8 @@
 pub struct Granted {
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    /// Whether the entry's hall asks for the adapter so often from other halls that a copy in
-    /// its own one pays.
+    /// Whether the entry's hall requests the adapter from other halls so often that its own
+    /// hall should hold the adapter too.
     #[prost(bool, tag = "2")]
     pub copy_pays: bool,
 }
@@ -291,47 +300,49 @@
     #[prost(uint64, tag = "3")]
     pub retry_after_ms: u64,
 }
-/// The state of the engine, sent when it changes and now and then. It is short, since
-/// there is one for each engine and entry several times a second.
+/// The state of the engine, sent on changes and periodically. The message is kept short:
+/// each agent sends the state to each entry several times a second.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct State {
     #[prost(enumeration = "Engagement", tag = "1")]
     pub engagement: i32,
-    /// Holds of all entries that are granted.
+    /// Number of granted holds of all entries.
     #[prost(uint32, tag = "2")]
     pub held: u32,
-    /// Adapters that could be taken in without waiting for a request to end.
+    /// Number of adapters that can be loaded without waiting for a request to end.
     #[prost(uint32, tag = "3")]
     pub free_places: u32,
-    /// Loads that wait for their turn.
+    /// Number of queued loads.
     #[prost(uint32, tag = "4")]
     pub loads_ahead: u32,
-    /// Entries that follow, in all and in the hall of the receiver.
+    /// Number of connected entries, in all and in the hall of the receiver.
     #[prost(uint32, tag = "5")]
     pub entries: u32,
     #[prost(uint32, tag = "6")]
     pub entries_in_hall: u32,
-    /// Whether the lists below are whole; else they hold what changed since the last state.
+    /// Whether the lists of adapters are complete; otherwise they hold the changes since the
+    /// last state.
     #[prost(bool, tag = "7")]
     pub whole: bool,
-    /// Hashes of adapters that are ready, on their way, and neither any more.
+    /// Hashes of adapters that are resident, being loaded, and no longer either.
     #[prost(fixed64, repeated, tag = "8")]
     pub resident: ::prost::alloc::vec::Vec<u64>,
     #[prost(fixed64, repeated, tag = "9")]
     pub loading: ::prost::alloc::vec::Vec<u64>,
     #[prost(fixed64, repeated, tag = "10")]
     pub gone: ::prost::alloc::vec::Vec<u64>,
-    /// Prompt tokens of the held requests that are probably not read yet.
+    /// Prefill backlog: prompt tokens of the held requests that the engine has probably not
+    /// processed yet.
     #[prost(uint32, tag = "11")]
     pub unread_tokens: u32,
-    /// The run that the engine named itself; empty if it is the same as before, or not known.
-    /// The same name again, in a state that is not whole, is another run under that name.
+    /// The engine's name for its run; empty if the run is unchanged or unknown. The same
+    /// name again, in a state that is not whole, denotes another run of that name.
     #[prost(string, tag = "12")]
     pub run: ::prost::alloc::string::String,
-    /// Whether the engine said that it leaves: it takes no new requests.
+    /// Whether the engine reported that it is draining and takes no new requests.
     #[prost(bool, tag = "13")]
     pub leaving: bool,
-    /// The rate that the engine names in its reports, in thousandths of requests a second.
+    /// Rate limit that the engine advertises, in thousandths of requests a second.
     #[prost(uint64, optional, tag = "14")]
     pub rate_millis: ::core::option::Option<u64>,
 }
@@ -365,15 +376,15 @@
         }
     }
 }
-/// What an engine can be asked for.
+/// Availability of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, ::prost::Enumeration)]
 #[repr(i32)]
 pub enum Engagement {
-    /// It does not answer.
+    /// The engine is unresponsive, in backoff, or its run is unknown.
     Away = 0,
-    /// It is being given its base model; adapters can be waited for.
+    /// The engine is loading its base model; requests can wait for adapters.
     Filling = 1,
-    /// It serves.
+    /// The engine serves requests.
     Serving = 2,
 }
 impl Engagement {
@@ -479,7 +490,7 @@
             self.inner = self.inner.max_encoding_message_size(limit);
             self
         }
-        /// Stays open while both processes live. The first message is `hello`.
+        /// Stays open while both processes run. The first message is `hello`.
         pub async fn follow(
             &mut self,
             request: impl tonic::IntoStreamingRequest<Message = super::FromEntry>,
@@ -504,7 +515,8 @@
                 .insert(GrpcMethod::new("larkspring.residency.Residency", "Follow"));
             self.inner.streaming(req, path, codec).await
         }
-        /// Reads the declared state, which the agent reads once for the entries of its hall.
+        /// Reads the declared state. The agent reads the state from the store once for all
+        /// entries of its hall.
         pub async fn read(
             &mut self,
             request: impl tonic::IntoRequest<super::ReadRequest>,
@@ -547,12 +559,13 @@
             >
             + std::marker::Send
             + 'static;
-        /// Stays open while both processes live. The first message is `hello`.
+        /// Stays open while both processes run. The first message is `hello`.
         async fn follow(
             &self,
             request: tonic::Request<tonic::Streaming<super::FromEntry>>,
         ) -> std::result::Result<tonic::Response<Self::FollowStream>, tonic::Status>;
-        /// Reads the declared state, which the agent reads once for the entries of its hall.
+        /// Reads the declared state. The agent reads the state from the store once for all
+        /// entries of its hall.
         async fn read(
             &self,
             request: tonic::Request<super::ReadRequest>,
--- a/crates/larkspring-proto/src/gen/larkspring.settings.rs
+++ b/crates/larkspring-proto/src/gen/larkspring.settings.rs
@@ -15,7 +15,7 @@
     pub platform: ::core::option::Option<Platform>,
     #[prost(message, optional, tag = "6")]
     pub telemetry: ::core::option::Option<Telemetry>,
-    /// Threads of the process; 0 for one, which is enough for 20,000 relayed chunks a second.
+    /// Number of threads; 0 for one, which suffices for 20,000 relayed chunks a second.
     #[prost(uint32, tag = "7")]
     pub threads: u32,
 }
@@ -47,23 +47,23 @@
     pub stop_grace_ms: u64,
     #[prost(uint32, tag = "11")]
     pub max_agent_connections: u32,
-    /// Retries allowed for each hundred requests.
+    /// Maximum number of retries for each hundred requests.
     #[prost(uint32, tag = "12")]
     pub retry_percent: u32,
-    /// How an endpoint is chosen: predicted, random, least or hash.
+    /// Policy by which endpoints are chosen: predicted, random, least or hash.
     #[prost(string, tag = "13")]
     pub routing: ::prost::alloc::string::String,
-    /// How far ahead the entry may answer for keys, which is how long it goes on
-    /// through an outage of the object API.
+    /// How far ahead the entry's ranges of key births reach. The entry grants keys for up
+    /// to this time during an outage of the object API.
     #[prost(uint64, tag = "14")]
     pub key_lease_ms: u64,
-    /// How long a key without a birth is remembered at least.
+    /// Shortest time for which a key without a birth is kept.
     #[prost(uint64, tag = "15")]
     pub key_retention_ms: u64,
-    /// By how much clocks may differ.
+    /// Largest difference between two clocks.
     #[prost(uint64, tag = "16")]
     pub clock_skew_ms: u64,
-    /// Bytes of answers kept for resends.
+    /// Maximum size of the answers kept for retries, in bytes.
     #[prost(uint64, tag = "17")]
     pub kept_answer_bytes: u64,
     /// Address for operators; none if empty.
@@ -72,7 +72,8 @@
     /// SHA-256 of the operators' key in hex.
     #[prost(string, tag = "19")]
     pub operator_key_sha256: ::prost::alloc::string::String,
-    /// Partitions of the keys that the entry takes, of 64; one where there are many entries.
+    /// Maximum number of the 64 key partitions that the entry holds; one is enough where
+    /// there are many entries.
     #[prost(uint32, tag = "20")]
     pub max_key_partitions: u32,
 }
@@ -87,10 +88,10 @@
     /// Address of the engine or service.
     #[prost(string, tag = "3")]
     pub backend: ::prost::alloc::string::String,
-    /// Adapter slots of the engine.
+    /// Number of adapter slots of the engine.
     #[prost(uint32, tag = "4")]
     pub slots: u32,
-    /// Requests in the engine at a time.
+    /// Maximum number of concurrent requests at the engine.
     #[prost(uint32, tag = "5")]
     pub max_running: u32,
     #[prost(uint32, tag = "6")]
@@ -101,7 +102,7 @@
     pub load_timeout_ms: u64,
     #[prost(uint64, tag = "9")]
     pub poll_ms: u64,
-    /// Which adapter is unloaded first: heat (the least used) or lru.
+    /// Eviction policy for adapters: heat (the least used first) or lru.
     #[prost(string, tag = "10")]
     pub eviction: ::prost::alloc::string::String,
 }
@@ -117,14 +118,14 @@
     pub vms: ::prost::alloc::string::String,
     #[prost(uint64, tag = "3")]
     pub timeout_ms: u64,
-    /// Loads a second that the weight store gives in all; 0 for no limit.
+    /// Total loads a second that the weight store serves; 0 for no limit.
     #[prost(double, tag = "4")]
     pub load_rate: f64,
-    /// Loads at a time that it gives at full speed; 0 for no limit.
+    /// Concurrent loads that the weight store serves at full speed; 0 for no limit.
     #[prost(uint32, tag = "5")]
     pub load_concurrency: u32,
-    /// Addresses of other entries' control side, to be followed while the object API
-    /// can't be asked.
+    /// Control addresses of other entries, which the process follows while the object API is
+    /// unavailable.
     #[prost(string, repeated, tag = "6")]
     pub peers: ::prost::alloc::vec::Vec<::prost::alloc::string::String>,
 }
@@ -132,7 +133,7 @@
 #[serde(default, deny_unknown_fields)]
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Telemetry {
-    /// Address that takes statsd metrics over UDP.
+    /// Address that receives statsd metrics over UDP.
     #[prost(string, tag = "1")]
     pub statsd: ::prost::alloc::string::String,
     /// Whether spans are written to the log.
--- a/crates/larkspring-proto/src/lib.rs
+++ b/crates/larkspring-proto/src/lib.rs
@@ -1,6 +1,5 @@
-//! Generated messages, settings and service stubs; the sources are in `schema/`.
-//!
-//! `cargo run -p xtask -- generate` writes them anew.
+//! Messages, settings and service stubs, generated from `schema/` by
+//! `cargo run -p xtask -- generate`.
 #![allow(clippy::all, missing_docs)]
 
 pub mod codec;
@@ -10,27 +9,27 @@
     include!("gen/larkspring.agent.rs");
 }
 
-/// Passing the declared state on.
+/// Distribution of the declared state.
 pub mod config {
     include!("gen/larkspring.config.rs");
 }
 
-/// Declared state, as kept in the object API.
+/// Declared state, as stored in the object API.
 pub mod declared {
     include!("gen/larkspring.declared.rs");
 }
 
-/// Keys of requests that run at most once.
+/// Idempotency keys of requests that run at most once.
 pub mod keys {
     include!("gen/larkspring.keys.rs");
 }
 
-/// Sharing the weight store's budget.
+/// Sharing of the weight store's load budget.
 pub mod loads {
     include!("gen/larkspring.loads.rs");
 }
 
-/// Messages between entries that send straight to endpoints and agents.
+/// Messages between agents and the entries that send directly to endpoints.
 pub mod residency {
     include!("gen/larkspring.residency.rs");
 }
