--- a/model/direct.pml
+++ b/model/direct.pml
@@ -1,24 +1,24 @@
 /*
- * Entries that send straight to endpoints: the send decision for one request, and the
- * orders of one agent to its engine, with lost and late orders and restarts of both.
+ * Entries that send directly to endpoints: the decision whether one request is sent, and
+ * the orders of one agent to its engine, with lost and late orders and restarts of both.
  *
- * Each mechanism has a switch. `model/check` runs the model with all of them on, where no
- * assertion may fail, and with each one off, where one must.
+ * Each mechanism has a switch. `model/check` runs the model with all switches on, where
+ * no assertion may fail, and with each switch off, where an assertion must fail.
  */
 
-#ifndef ONCE      /* what may have run is sent again only if it may run twice */
+#ifndef ONCE      /* a request that may have run is retried only if repeatable */
 #define ONCE 1
 #endif
-#ifndef HISTORY   /* "not run" is said only where no attempt may have run */
+#ifndef HISTORY   /* "not run" is reported only if no attempt may have run */
 #define HISTORY 1
 #endif
-#ifndef FLIGHT    /* a planned stop refuses only what is not with an endpoint */
+#ifndef FLIGHT    /* a planned stop refuses only requests that are at no endpoint */
 #define FLIGHT 1
 #endif
-#ifndef COUNT     /* an order names the number of orders taken before it */
+#ifndef COUNT     /* an order states the number of orders executed before it */
 #define COUNT 1
 #endif
-#ifndef NAMED     /* an order names the run that it is for */
+#ifndef NAMED     /* an order names the run to which it is addressed */
 #define NAMED 1
 #endif
 #ifndef LOOK      /* an agent reads a report before its first order */
@@ -29,13 +29,13 @@
 #define PLACES 2
 #define ADAPTERS 3
 #define MAX_RUNS 2     /* runs of the engine */
-#define MAX_TAKEN 5    /* orders in one run */
+#define MAX_TAKEN 5    /* orders executed in one run */
 
-/* ---- The send decision ---- */
+/* ---- Whether a request is sent ---- */
 
-byte executions = 0;  /* times that an endpoint ran or may yet run the request */
-bool settled = false; /* the request is over */
-bool refused = false; /* the caller was told that it has not run */
+byte executions = 0;  /* how often an endpoint ran or may still run the request */
+bool settled = false; /* the request has ended */
+bool refused = false; /* the caller received "not run" */
 
 mtype = { unsent, rejected, failed, unclear };
 
@@ -51,15 +51,15 @@
 		:: end = unsent
 		:: end = rejected
 		:: executions++; end = failed
-		:: executions++; goto over          /* answered: delivered to the caller */
-		:: executions++; end = unclear      /* ran, or runs later */
+		:: executions++; goto over          /* the answer reaches the caller */
+		:: executions++; end = unclear      /* has run, or runs later */
 		:: end = unclear                    /* never ran */
-		:: executions++;                    /* the stop finds it with an endpoint */
+		:: executions++;                    /* a stop while it is at an endpoint */
 			if
 			:: FLIGHT -> goto over
 			:: !FLIGHT -> refused = true; goto over
 			fi
-		:: !(HISTORY && may_have_run) ->    /* the stop finds it between attempts */
+		:: !(HISTORY && may_have_run) ->    /* a stop between attempts */
 			refused = true; goto over
 		fi;
 		bool may = (end == failed || end == unclear);
@@ -79,19 +79,19 @@
 /* ---- Orders ---- */
 
 byte life = 1;        /* the run of the engine */
-byte taken = 1;       /* orders taken in this run; the first loaded the base model */
+byte taken = 1;       /* orders executed in this run; the first loaded the base model */
 bool held[ADAPTERS + 1];
 
-bool late = false;    /* an order without an answer that is carried out later */
+bool late = false;    /* an unanswered order is executed later */
 bool late_load; byte late_target; byte late_life; byte late_taken;
 
-bool knows = false;   /* the agent has read a report, or had answers since */
+bool knows = false;   /* the agent has read a report and, since then, an answer to each order */
 byte known_life; byte known_taken;
 bool known[ADAPTERS + 1];
 
 #define count(a) (a[1] + a[2] + a[3])
 
-/* The engine gets an order. */
+/* The engine receives an order; it skips an order whose run or count does not match. */
 inline execute(load, target, r, t, done) {
 	done = false;
 	if
@@ -121,7 +121,7 @@
 		if :: target = 1 :: target = 2 :: target = 3 fi;
 		load = !known[target];
 		if
-		:: load && count(known) >= PLACES -> skip   /* another one is unloaded first */
+		:: load && count(known) >= PLACES -> skip   /* another adapter is unloaded first */
 		:: else ->
 			if
 			:: execute(load, target, known_life, known_taken, done);   /* answered */
@@ -131,12 +131,12 @@
 				fi
 			:: execute(load, target, known_life, known_taken, done);   /* the answer is lost */
 				knows = false
-			:: !late ->                                           /* carried out later */
+			:: !late ->                                           /* executed later */
 				late = true;
 				late_load = load; late_target = target;
 				late_life = known_life; late_taken = known_taken;
 				knows = false
-			:: knows = false                                      /* never carried out */
+			:: knows = false                                      /* never executed */
 			fi
 		fi }
 	:: atomic { knows ->                                          /* the agent restarts */
@@ -165,7 +165,7 @@
 		held[1] = false; held[2] = false; held[3] = false }
 }
 
-/* The two parts share nothing, so one follows the other. */
+/* The two parts share no state, so they run one after the other. */
 init {
 	run Request();
 	settled;
--- a/model/once.pml
+++ b/model/once.pml
@@ -1,10 +1,11 @@
 /*
- * At most once: dispatch, refusal, resend through two entries, change of ownership,
- * pause and resume, a lost reply of the object API, and a crash. One key, one partition,
- * one adapter that is pinned while the request runs.
+ * Execution at most once: dispatch, refusal, retry through two entries, change of the
+ * partition's holder, pause and resume, a lost reply of the object API, and a crash. The
+ * model has one key, one partition, and one adapter that is pinned while the request
+ * runs.
  *
- * Each mechanism has a switch. `model/check` runs the model with all of them on, where no
- * assertion may fail, and with each one off, where one must.
+ * Each mechanism has a switch. `model/check` runs the model with all switches on, where
+ * no assertion may fail, and with each switch off, where an assertion must fail.
  */
 
 #ifndef RANGE     /* a holder grants only births within its own range */
@@ -16,43 +17,43 @@
 #ifndef CLAIM     /* an entry runs nothing before its claim is granted */
 #define CLAIM 1
 #endif
-#ifndef TRUTH     /* "not run" is said only where nothing was sent */
+#ifndef TRUTH     /* "not run" is reported only if nothing was sent */
 #define TRUTH 1
 #endif
-#ifndef READBACK  /* a write with a lost reply is not counted on before a read */
+#ifndef READBACK  /* after a write with a lost reply, the object is read first */
 #define READBACK 1
 #endif
-#ifndef PIN       /* no unload while a request uses the adapter */
+#ifndef PIN       /* an adapter is not unloaded while a request uses it */
 #define PIN 1
 #endif
-#ifndef HIGHER    /* only a higher revision is put in force */
+#ifndef HIGHER    /* only a higher revision comes into force */
 #define HIGHER 1
 #endif
 
-#define RUNS 3    /* runs of entries that may hold the partition: 1, 2, 3 */
+#define RUNS 3    /* entry runs that may hold the partition: 1, 2, 3 */
 #define ENTRIES 2
 #define NONE 0
 
-/* The object: which run holds the partition, from which birth, until which. */
+/* The object: the run that holds the partition, and its range of births. */
 byte obj_holder = 1;
 byte obj_from = 0;
 byte obj_until = 1;
 
-/* What each run believes of itself; a paused run's belief may be old. */
+/* Each run's own view of its tenure; the view of a paused run may be stale. */
 byte from_[4];
 byte until_[4];
 bool holds[4];
-bool claimed[4];     /* its memory of the one key */
-bool ended[4];       /* it crashed */
+bool claimed[4];     /* its record of the key */
+bool ended[4];       /* crashed */
 bool paused[4];
 
-byte birth = 0;      /* of the key: in the range of run 1 or of a later one */
-byte executions = 0; /* times that an endpoint got the request */
+byte birth = 0;      /* of the key: in the range of run 1 or of a later run */
+byte executions = 0; /* how often an endpoint received the request */
 bool maybe_ran = false;
 byte users = 0;      /* requests that use the adapter */
 bool resident = true;
 
-/* A holder answers a claim: granted, or not known to be free. */
+/* The holder's decision on a claim: grants the key only if it is known to be free. */
 inline decide(r, granted) {
 	granted = false;
 	if
@@ -66,7 +67,7 @@
 	fi
 }
 
-/* An entry with the key: it picks a run that it believes to hold the partition. */
+/* An entry with the key; it takes any of the runs for the holder. */
 proctype Entry() {
 	byte r;
 	bool granted = false;
@@ -80,11 +81,11 @@
 	fi;
 	if
 	:: !granted ->
-		/* Answered "unknown" at once: an earlier attempt may have run. */
+		/* Answers "unknown" at once, since an earlier attempt may have run. */
 		goto done
 	:: granted -> skip
 	fi;
-	/* Dispatch. The agent checks that the adapter is there, and pins it. */
+	/* Dispatch. The agent checks that the adapter is resident, and pins it. */
 	if
 	:: atomic { resident -> users++; executions++; sent = true; ran = true;
 		maybe_ran = true }
@@ -95,7 +96,7 @@
 	fi;
 	if
 	:: !sent ->
-		/* "not run": the key is given back to its holder. */
+		/* "not run": the holder releases the key. */
 		atomic {
 			assert(!ran);
 			if
@@ -110,7 +111,7 @@
 	if
 	:: TRUTH -> skip                     /* "unknown": the key stays claimed */
 	:: !TRUTH -> atomic {
-			/* Says "not run" and gives the key back. */
+			/* Reports "not run" and releases the key. */
 			assert(!ran);
 			claimed[r] = false
 		}
@@ -120,14 +121,14 @@
 	assert(executions <= 1)
 }
 
-/* Run 2 and then run 3 take the partition over, each from the end of the last range. */
+/* Run 2 and then run 3 take over the partition, each from the end of the last range. */
 proctype Takeover() {
 	byte me = 2;
 	bool lost;
 	do
 	:: (me <= RUNS) ->
 		atomic {
-			/* The conditional update, by a run that read the object just now. */
+			/* The conditional update, by a run that has just read the object. */
 			lost = false;
 			obj_from = obj_until;
 			obj_until = obj_until + 1;
@@ -138,10 +139,10 @@
 			fi
 		}
 		if
-		:: (lost && READBACK) -> skip        /* it reads the object before it acts */
+		:: (lost && READBACK) -> skip        /* reads the object first */
 		:: (lost && !READBACK) ->
-			/* It believes its write failed and writes a range anew, yet counts
-			   on the one that it meant first. */
+			/* Takes the write for failed and writes another range, but acts on
+			   the range that it intended first. */
 			atomic { from_[me] = 0; until_[me] = obj_until; holds[me] = true };
 			goto next
 		:: else -> skip
@@ -153,7 +154,7 @@
 	od
 }
 
-/* Run 1 may be paused and go on, still believing that it holds its range; or crash. */
+/* Run 1 may be paused and resume with a stale view of its tenure, or may crash. */
 proctype Faults() {
 	if
 	:: true -> paused[1] = true; paused[1] = false
@@ -162,7 +163,7 @@
 	fi
 }
 
-/* The agent unloads the adapter for another one. */
+/* The agent unloads the adapter to make room for another adapter. */
 proctype Unload() {
 	if
 	:: atomic { (!PIN || users == 0) -> resident = false }
@@ -170,7 +171,7 @@
 	fi
 }
 
-/* Two changes arrive at a process in any order. */
+/* Three updates arrive at a process, with revisions in any order. */
 proctype Revision() {
 	byte in_force = 0;
 	byte before;
