--- a/crates/larkspring-proto/src/gen/larkspring.keys.rs
+++ b/crates/larkspring-proto/src/gen/larkspring.keys.rs
@@ -50,8 +50,8 @@
     /// Id of the attempt; the same attempt may claim the key again.
     #[prost(string, tag = "6")]
     pub attempt: ::prost::alloc::string::String,
-    /// Time after which the outcome of an attempt that was not settled counts as unknown, in
-    /// Unix milliseconds.
+    /// Remaining time, in milliseconds, after which the outcome of an attempt that was not
+    /// settled counts as unknown.
     #[prost(uint64, tag = "7")]
     pub deadline_ms: u64,
 }
