--- a/crates/larkspring/src/agent/job.rs
+++ b/crates/larkspring/src/agent/job.rs
@@ -1,4 +1,4 @@
-//! One request at the agent, from its arrival to the last byte of its answer.
+//! Handling of one request at the agent, from its arrival to the last byte of the answer.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -17,30 +17,36 @@
 use tonic::{Status, Streaming};
 use tracing::Instrument;
 
-use super::backend::{ADAPTER, INCARNATION, PRIORITY, REQUEST};
-use super::endpoint::{Endpoint, Place};
+use super::backend::{
+    ADAPTER_HEADER, INCARNATION_HEADER, PRIORITY_HEADER, REQUEST_ID_HEADER,
+};
+use super::endpoint::{Endpoint, RequestSlot};
 use super::poll::SERVICE_VERSION;
 use super::START_TIMEOUT;
 use crate::exec::{self, within};
-use crate::rpc::credit::{units, Credit, MAX_CHUNK};
+use crate::rpc::credit::{units, Credit, MAX_CHUNK_BYTES};
 use crate::telemetry::TraceParent;
 use crate::wire::refusal_to_wire;
 
-/// Messages to the entry.
-pub type Down = Sender<Result<DispatchDown, Status>>;
+/// Sender of messages to the entry.
+pub type DownSender = Sender<Result<DispatchDown, Status>>;
 
-/// End of an engine's streamed answer; without it the answer is not whole.
+/// Last event of an engine's streamed answer; without it the answer is incomplete.
 const STREAM_END: &[u8] = b"data: [DONE]\n\n";
 const EVENT_STREAM: &str = "text/event-stream";
-/// Tries to get the rest of an answer whose connection broke.
-const MAX_RESUMES: u32 = 2;
-const RESUME_WAIT: Duration = Duration::from_millis(50);
-/// How long a request waits for the declared state that its entry decided by: the time
+/// Attempts to get the rest of an answer after the connection broke.
+const MAX_RESUME_ATTEMPTS: u32 = 2;
+const RESUME_DELAY: Duration = Duration::from_millis(50);
+/// Maximum time that a request waits for the declared state used by its entry: the time
 /// within which a change is to be in force everywhere.
-const CATCH_UP: Duration = Duration::from_secs(4);
+const MAX_REVISION_WAIT: Duration = Duration::from_secs(4);
 
-/// Serves one call of an entry to its end.
-pub async fn run(endpoint: Arc<Endpoint>, mut up: Streaming<DispatchUp>, down: Down) {
+/// Serves one call of an entry until the call ends.
+pub async fn run(
+    endpoint: Arc<Endpoint>,
+    mut up: Streaming<DispatchUp>,
+    down: DownSender,
+) {
     let first = within(START_TIMEOUT, up.next()).await.flatten();
     let Some(Ok(DispatchUp { kind: Some(dispatch_up::Kind::Start(start)) })) = first
     else {
@@ -63,7 +69,7 @@
     drop(reader);
 }
 
-/// Takes in the entry's credit until it ends the call.
+/// Applies the entry's credit messages until the entry ends the call.
 async fn read_credit(mut up: Streaming<DispatchUp>, credit: Arc<Credit>) {
     while let Some(Ok(message)) = up.next().await {
         if let Some(dispatch_up::Kind::Credit(more)) = message.kind {
@@ -77,60 +83,60 @@
     endpoint: Arc<Endpoint>,
     start: Start,
     credit: Arc<Credit>,
-    down: Down,
+    down: DownSender,
     trace: TraceParent,
 }
 
-/// Why a request ends before its answer is whole.
-enum Stop {
-    /// The entry has gone; nobody waits for an answer.
-    Gone,
-    /// The entry is told.
+/// Why a request ends before its answer is complete.
+enum Abort {
+    /// The entry ended the call; no answer is needed.
+    EntryGone,
+    /// The refusal is sent to the entry.
     Refused(Refusal),
 }
 
-impl From<Refusal> for Stop {
+impl From<Refusal> for Abort {
     fn from(refusal: Refusal) -> Self {
         Self::Refused(refusal)
     }
 }
 
 /// An answer that is being relayed.
-struct Answer {
+struct RelayedAnswer {
     body: Body,
-    /// Bytes that were relayed.
+    /// Bytes relayed so far.
     sent: u64,
-    /// Bytes that the answer has, if it says so.
+    /// Declared length of the answer in bytes, if any.
     len: Option<u64>,
-    /// Whether it is a stream of events.
-    events: bool,
-    tail: Tail,
+    /// Whether the answer is an event stream.
+    is_event_stream: bool,
+    tail: LastBytes,
 }
 
 /// The last bytes of an answer.
 #[derive(Default)]
-struct Tail(Vec<u8>);
+struct LastBytes(Vec<u8>);
 
 impl Job {
     async fn run(&self) {
         let deadline = Instant::now() + Duration::from_millis(self.start.deadline_ms);
         match self.serve(deadline).await {
             Ok(()) => self.endpoint.metrics.count("requests", "outcome", "ok"),
-            Err(Stop::Gone) => {
+            Err(Abort::EntryGone) => {
                 self.endpoint.metrics.count("requests", "outcome", "gone");
-                tracing::info!("the entry has gone");
+                tracing::info!("request cancelled: the entry ended the call");
             }
-            Err(Stop::Refused(refusal)) => {
+            Err(Abort::Refused(refusal)) => {
                 let outcome = refusal.outcome.name();
                 self.endpoint.metrics.count("requests", "outcome", outcome);
                 tracing::info!(%refusal, "refused");
-                let refusal = refusal_to_wire(refusal, Some(self.endpoint.hint()));
-                let _ = self.tell(dispatch_down::Kind::Refusal(refusal)).await;
+                let refusal = refusal_to_wire(refusal, Some(self.endpoint.load_report()));
+                let _ = self.send_message(dispatch_down::Kind::Refusal(refusal)).await;
             }
         }
     }
 
-    async fn serve(&self, deadline: Instant) -> Result<(), Stop> {
+    async fn serve(&self, deadline: Instant) -> Result<(), Abort> {
         let target = self.target(deadline).await?;
         let since = Instant::now();
         let waiting = Waiting {
@@ -141,23 +147,27 @@
             due: deadline,
             worth: 1.0,
         };
-        let mut place = self.endpoint.enter(waiting)?;
-        let late = || late(Step::Queue, Refusal::not_run);
-        self.bounded(deadline, late, async { Ok(place.granted().await?) }).await?;
-        let load_wait = if place.resident { Duration::ZERO } else { since.elapsed() };
-        // Boxed, as it ends before the long part of the request.
-        let mut res = Box::pin(self.send(&mut place, &target, deadline)).await?;
-        let mut answer = Answer::new(&res);
-        self.begin(&res, load_wait).await?;
+        let mut slot = self.endpoint.enqueue(waiting)?;
+        let deadline_refusal = || deadline_refusal(Step::Queue, Refusal::not_run);
+        self.with_deadline(deadline, deadline_refusal, async {
+            Ok(slot.wait_granted().await?)
+        })
+        .await?;
+        let load_wait = if slot.resident { Duration::ZERO } else { since.elapsed() };
+        // Boxed, so that the memory of this step is freed before the relay, the longest
+        // step.
+        let mut res = Box::pin(self.send(&mut slot, &target, deadline)).await?;
+        let mut answer = RelayedAnswer::new(&res);
+        self.send_begin(&res, load_wait).await?;
         answer.body = res.take_body();
-        self.relay(&mut place, answer, deadline).await?;
-        place.left_engine();
-        drop(place);
-        let end = End { hint: Some(self.endpoint.hint()) };
-        self.tell(dispatch_down::Kind::End(end)).await
+        self.relay(&mut slot, answer, deadline).await?;
+        slot.mark_out_of_engine();
+        drop(slot);
+        let end = End { hint: Some(self.endpoint.load_report()) };
+        self.send_message(dispatch_down::Kind::End(end)).await
     }
 
-    /// Returns the exact adapter, once it is declared here too.
+    /// Returns the requested adapter version once it is declared in this process too.
     async fn target(&self, deadline: Instant) -> Result<Target, Refusal> {
         if let Some(service) = &self.start.service {
             return Ok(Target::new(&service.service, SERVICE_VERSION));
@@ -166,7 +176,7 @@
             return Err(Refusal::not_run(Step::Resolve, "the request names no target"));
         };
         let target = Target::new(&model.adapter, &model.version);
-        self.catch_up(deadline).await;
+        self.wait_for_revision(deadline).await;
         match self.endpoint.in_force.state().weights(&target) {
             Some(_) => Ok(target),
             None => {
@@ -177,9 +187,9 @@
         }
     }
 
-    /// Waits for the declared state that the entry decided by, which may reach the entry
-    /// first.
-    async fn catch_up(&self, deadline: Instant) {
+    /// Waits for the revision of the declared state that the entry used, as a change may
+    /// reach the entry first.
+    async fn wait_for_revision(&self, deadline: Instant) {
         let (in_force, wanted) = (&self.endpoint.in_force, self.start.revision);
         let known = in_force.state().revision;
         if known >= wanted {
@@ -187,20 +197,20 @@
         }
         tracing::info!(known, wanted, "the request waits for the declared state");
         let left = deadline.saturating_duration_since(Instant::now());
-        within(left.min(CATCH_UP), in_force.reached(wanted)).await;
+        within(left.min(MAX_REVISION_WAIT), in_force.wait_for_revision(wanted)).await;
     }
 
-    /// Sends the request and checks that the right engine begins to answer.
+    /// Sends the request and checks that the expected adapter and run begin to answer.
     async fn send(
         &self,
-        place: &mut Place,
+        slot: &mut RequestSlot,
         target: &Target,
         deadline: Instant,
-    ) -> Result<Response, Stop> {
+    ) -> Result<Response, Abort> {
         let run = self.endpoint.incarnation();
-        let req = self.request(place)?;
+        let req = self.request(slot)?;
         let sock = self.endpoint.backend.connect().await.map_err(|e| {
-            self.endpoint.unreachable();
+            self.endpoint.mark_unreachable();
             let refusal = Refusal::not_run(Step::Send, e.to_string()).elsewhere();
             refusal.retry_after(Duration::from_secs(1))
         })?;
@@ -208,21 +218,21 @@
             let text = "the engine restarted before the request was sent";
             return Err(Refusal::not_run(Step::Send, text).elsewhere().into());
         }
-        place.entered_engine();
-        let late = || late(Step::Begin, Refusal::unknown);
+        slot.mark_in_engine();
+        let deadline_refusal = || deadline_refusal(Step::Begin, Refusal::unknown);
         let exchange = async {
             let sent = self.endpoint.backend.send(sock, req).await;
-            sent.map_err(|e| Stop::from(Refusal::unknown(Step::Begin, e.to_string())))
+            sent.map_err(|e| Abort::from(Refusal::unknown(Step::Begin, e.to_string())))
         };
-        let res = self.bounded(deadline, late, exchange).await?;
-        self.check(place, &res, target, run.as_deref())?;
+        let res = self.with_deadline(deadline, deadline_refusal, exchange).await?;
+        self.check_head(slot, &res, target, run.as_deref())?;
         Ok(res)
     }
 
     /// Checks the head of an answer.
-    fn check(
+    fn check_head(
         &self,
-        place: &mut Place,
+        slot: &mut RequestSlot,
         res: &Response,
         target: &Target,
         run: Option<&str>,
@@ -232,9 +242,9 @@
         }
         let status = res.status() as u16;
         if let 404 | 429 | 503 = status {
-            place.left_engine();
+            slot.mark_out_of_engine();
             if status == 404 {
-                self.endpoint.lost(target);
+                self.endpoint.mark_not_resident(target);
             }
             let text = format!("the engine did not take the request: {status}");
             let refusal = Refusal::not_run(Step::Begin, text).elsewhere();
@@ -244,15 +254,15 @@
             return Ok(());
         }
         let header = |name: &str| res.header(name).map(|v| v.as_str());
-        let exact = header(ADAPTER) == Some(&target.to_string());
-        if exact && header(INCARNATION) == run {
+        let exact = header(ADAPTER_HEADER) == Some(&target.to_string());
+        if exact && header(INCARNATION_HEADER) == run {
             return Ok(());
         }
         let text = "another adapter or another run of the engine began to answer";
         Err(Refusal::failed(Step::Begin, text).elsewhere())
     }
 
-    fn request(&self, place: &Place) -> Result<Request, Refusal> {
+    fn request(&self, slot: &RequestSlot) -> Result<Request, Refusal> {
         let backend = &self.endpoint.backend;
         let built = match (&self.start.model, &self.start.service) {
             (Some(model), _) => backend.model_request(model),
@@ -264,8 +274,8 @@
         };
         let built = built.map_err(|e| Refusal::not_run(Step::Send, e.to_string()));
         let mut req = built?;
-        req.insert_header(REQUEST, self.endpoint.request_id(place.id));
-        req.insert_header(PRIORITY, self.start.priority.to_string());
+        req.insert_header(REQUEST_ID_HEADER, self.endpoint.request_id(slot.id));
+        req.insert_header(PRIORITY_HEADER, self.start.priority.to_string());
         req.insert_header("traceparent", self.trace.to_string());
         if !self.start.body.is_empty() {
             req.set_body(self.start.body.to_vec());
@@ -274,48 +284,51 @@
         Ok(req)
     }
 
-    async fn begin(&self, res: &Response, load_wait: Duration) -> Result<(), Stop> {
+    async fn send_begin(&self, res: &Response, load_wait: Duration) -> Result<(), Abort> {
         let content_type = res.header("content-type").map(|v| v.as_str().to_owned());
         let begin = Begin {
             status: (res.status() as u16).into(),
             content_type: content_type.unwrap_or_default(),
-            hint: Some(self.endpoint.hint()),
+            hint: Some(self.endpoint.load_report()),
             load_wait_us: load_wait.as_micros() as u64,
         };
-        self.tell(dispatch_down::Kind::Begin(begin)).await
+        self.send_message(dispatch_down::Kind::Begin(begin)).await
     }
 
-    /// Relays an answer to its end; a broken stream of an engine is resumed.
+    /// Relays an answer to its end; an engine's interrupted stream is resumed.
     async fn relay(
         &self,
-        place: &mut Place,
-        mut answer: Answer,
+        slot: &mut RequestSlot,
+        mut answer: RelayedAnswer,
         deadline: Instant,
-    ) -> Result<(), Stop> {
+    ) -> Result<(), Abort> {
         let mut resumes = 0;
         loop {
-            let late = || late(Step::Stream, Refusal::failed);
-            let broken = match self.bounded(deadline, late, self.copy(&mut answer)).await
+            let deadline_refusal = || deadline_refusal(Step::Stream, Refusal::failed);
+            let broken = match self
+                .with_deadline(deadline, deadline_refusal, self.relay_body(&mut answer))
+                .await
             {
-                Ok(()) if answer.is_whole() => return Ok(()),
+                Ok(()) if answer.is_complete() => return Ok(()),
                 Ok(()) => "the answer was cut off".to_owned(),
-                Err(Stop::Refused(r)) if r.elsewhere => r.message,
+                Err(Abort::Refused(r)) if r.elsewhere => r.message,
                 Err(stop) => return Err(stop),
             };
             resumes += 1;
-            let resumable = self.start.model.is_some() && answer.events;
-            if !resumable || resumes > MAX_RESUMES {
+            let resumable = self.start.model.is_some() && answer.is_event_stream;
+            if !resumable || resumes > MAX_RESUME_ATTEMPTS {
                 return Err(Refusal::failed(Step::Stream, broken).into());
             }
-            tracing::info!(offset = answer.sent, "resuming a broken answer");
-            Timer::after(RESUME_WAIT).await;
-            answer.body = self.resume(place, answer.sent).await?;
+            tracing::info!(offset = answer.sent, "resuming an interrupted answer");
+            Timer::after(RESUME_DELAY).await;
+            answer.body = self.resume(slot, answer.sent).await?;
         }
     }
 
-    /// Copies what comes; a broken connection is a refusal marked `elsewhere`.
-    async fn copy(&self, answer: &mut Answer) -> Result<(), Stop> {
-        let mut buf = vec![0; MAX_CHUNK];
+    /// Relays the body as it arrives; a broken connection gives a refusal marked
+    /// `elsewhere`.
+    async fn relay_body(&self, answer: &mut RelayedAnswer) -> Result<(), Abort> {
+        let mut buf = vec![0; MAX_CHUNK_BYTES];
         loop {
             let read = answer.body.read(&mut buf).await;
             let n = read.map_err(|e| {
@@ -325,29 +338,30 @@
             if n == 0 {
                 return Ok(());
             }
-            answer.took(&buf[..n]);
+            answer.record(&buf[..n]);
             if !self.credit.take(units(n)).await {
-                return Err(Stop::Gone);
+                return Err(Abort::EntryGone);
             }
             let chunk = Bytes::copy_from_slice(&buf[..n]);
-            self.tell(dispatch_down::Kind::Chunk(chunk)).await?;
+            self.send_message(dispatch_down::Kind::Chunk(chunk)).await?;
         }
     }
 
     /// Gets the rest of an answer from the same run of the engine.
-    async fn resume(&self, place: &Place, offset: u64) -> Result<Body, Refusal> {
+    async fn resume(&self, slot: &RequestSlot, offset: u64) -> Result<Body, Refusal> {
         let backend = &self.endpoint.backend;
         let fail = |cause: String| {
             let text = format!("the answer can't be resumed: {cause}");
             Refusal::failed(Step::Stream, text)
         };
         let run = self.endpoint.incarnation();
-        let id = self.endpoint.request_id(place.id);
+        let id = self.endpoint.request_id(slot.id);
         let req = backend.resume_request(&id, offset);
         let req = req.map_err(|e| fail(e.to_string()))?;
         let sock = backend.connect().await.map_err(|e| fail(e.to_string()))?;
         let mut res = backend.send(sock, req).await.map_err(|e| fail(e.to_string()))?;
-        let same_run = res.header(INCARNATION).map(|v| v.as_str()) == run.as_deref();
+        let same_run =
+            res.header(INCARNATION_HEADER).map(|v| v.as_str()) == run.as_deref();
         match res.status() as u16 {
             200 if same_run => Ok(res.take_body()),
             200 => Err(fail("the engine restarted".into())),
@@ -355,55 +369,61 @@
         }
     }
 
-    /// Runs `work` until it ends, the deadline passes or the entry goes.
-    async fn bounded<T>(
+    /// Runs `work` until it ends, the deadline passes or the entry ends the call.
+    async fn with_deadline<T>(
         &self,
         deadline: Instant,
-        late: impl FnOnce() -> Refusal,
-        work: impl std::future::Future<Output = Result<T, Stop>>,
-    ) -> Result<T, Stop> {
+        deadline_refusal: impl FnOnce() -> Refusal,
+        work: impl std::future::Future<Output = Result<T, Abort>>,
+    ) -> Result<T, Abort> {
         let gone = async {
             self.credit.closed().await;
-            Err(Stop::Gone)
+            Err(Abort::EntryGone)
         };
         let timer = async {
             Timer::at(deadline).await;
-            Err(late().into())
+            Err(deadline_refusal().into())
         };
         work.or(gone).or(timer).await
     }
 
-    async fn tell(&self, kind: dispatch_down::Kind) -> Result<(), Stop> {
+    async fn send_message(&self, kind: dispatch_down::Kind) -> Result<(), Abort> {
         let message = DispatchDown { kind: Some(kind) };
-        self.down.send(Ok(message)).await.map_err(|_| Stop::Gone)
+        self.down.send(Ok(message)).await.map_err(|_| Abort::EntryGone)
     }
 }
 
-impl Answer {
+impl RelayedAnswer {
     fn new(res: &Response) -> Self {
-        let events = res
+        let is_event_stream = res
             .header("content-type")
             .is_some_and(|v| v.as_str().starts_with(EVENT_STREAM));
         let len = res.len().map(|len| len as u64);
-        Self { body: Body::empty(), sent: 0, len, events, tail: Tail::default() }
+        Self {
+            body: Body::empty(),
+            sent: 0,
+            len,
+            is_event_stream,
+            tail: LastBytes::default(),
+        }
     }
 
-    fn took(&mut self, chunk: &[u8]) {
+    fn record(&mut self, chunk: &[u8]) {
         self.sent += chunk.len() as u64;
-        if self.events {
+        if self.is_event_stream {
             self.tail.push(chunk);
         }
     }
 
-    fn is_whole(&self) -> bool {
-        match self.events {
+    fn is_complete(&self) -> bool {
+        match self.is_event_stream {
             true => self.tail.0 == STREAM_END,
             false => self.len.is_none_or(|len| len == self.sent),
         }
     }
 }
 
-impl Tail {
+impl LastBytes {
     fn push(&mut self, chunk: &[u8]) {
         self.0.extend_from_slice(chunk);
         let extra = self.0.len().saturating_sub(STREAM_END.len());
@@ -411,6 +431,6 @@
     }
 }
 
-fn late(step: Step, outcome: fn(Step, &'static str) -> Refusal) -> Refusal {
+fn deadline_refusal(step: Step, outcome: fn(Step, &'static str) -> Refusal) -> Refusal {
     outcome(step, "the deadline passed")
 }
--- a/crates/larkspring/src/entry/keys/mod.rs
+++ b/crates/larkspring/src/entry/keys/mod.rs
@@ -1,5 +1,5 @@
-//! Keys of requests that run at most once: asking the holder of a key's partition, and
-//! answering for the partitions that this entry holds.
+//! Idempotency keys of requests that run at most once: claims at the holder of a key's
+//! partition, and decisions for the partitions that this entry holds.
 
 mod handover;
 mod rpc;
@@ -25,77 +25,77 @@
 use uuid::Uuid;
 
 pub use self::rpc::Service;
-use self::table::View;
-pub use self::table::TABLE;
+use self::table::TableView;
+pub use self::table::TABLE_OBJECT;
 use crate::exec::within;
 use crate::platform::objects::HttpObjects;
 use crate::rpc::channel::{Channel, Pool};
 use crate::settings::{EntryCfg, Settings};
 
-/// The keys' side of an entry.
+/// The idempotency keys of an entry: the partitions it holds, and access to the others.
 pub struct Keys {
-    /// This run, as it stands in the table.
-    me: Tenure,
+    /// This run, as written in the table.
+    own_tenure: Tenure,
     terms: Terms,
-    /// Partitions that this entry takes at most.
-    most: usize,
-    view: Mutex<View>,
+    /// Maximum number of partitions that this entry takes.
+    max_partitions: usize,
+    view: Mutex<TableView>,
     changed: Event,
-    /// One table of claims for each partition, under its own lock.
+    /// The claims of each partition, each under a separate lock.
     claims: Vec<Mutex<Claims<KeptAnswer>>>,
     api: HttpObjects,
     pool: Pool,
-    /// Other entries, by the settings.
+    /// Addresses of other entries, from the settings.
     peers: Vec<String>,
-    /// Whether this run gives its partitions away and grants nothing more.
+    /// Whether this run hands over its partitions and grants no more keys.
     closing: AtomicBool,
 }
 
-/// A key that is to be claimed.
+/// A request to claim a key.
 #[derive(Debug, Clone)]
-pub struct KeyAsk {
+pub struct KeyClaim {
     /// Partition of the key.
     pub partition: usize,
-    /// Birth of the key; 0 if it has none.
-    pub birth: Millis,
-    /// The claim itself.
+    /// Creation time of the key; 0 if the key carries none.
+    pub created_ms: Millis,
+    /// The claim.
     pub ask: Ask,
 }
 
-/// Answer to a try to claim a key.
+/// Reply to a request to claim a key.
 #[derive(Debug, Clone)]
-pub struct Answered {
-    /// What is known of the key.
+pub struct ClaimAnswer {
+    /// The decision on the key.
     pub verdict: Verdict,
-    /// When to ask again.
+    /// Time after which a retry makes sense.
     pub retry_after: Option<Duration>,
-    /// The kept answer of a request that ran.
+    /// The kept answer, if the request already ran.
     pub answer: Option<KeptAnswer>,
 }
 
-/// Its holder does the work that one entry does for all.
+/// Partition whose holder is the leader: it grants loads on behalf of all entries.
 pub const LEADING_PARTITION: usize = 0;
-/// Keys that one entry keeps at most; about 100 bytes each.
+/// Maximum number of keys kept by one entry; a key takes about 100 bytes.
 const MAX_KEYS: usize = 100_000;
-/// Time for a call to another entry.
+/// Limit on the time that a call to another entry takes.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Connections to other entries.
+/// Maximum number of connections to other entries.
 const MAX_CONNECTIONS: usize = PARTITIONS;
-/// Tries to reach the holder of a key.
-const CLAIM_TRIES: u32 = 3;
-const SETTLE_TRIES: u32 = 3;
-/// When to ask again where the holder could not be asked.
-const CLAIM_RETRY: Duration = Duration::from_secs(1);
+/// Attempts to reach the holder of a key.
+const CLAIM_ATTEMPTS: u32 = 3;
+const SETTLE_ATTEMPTS: u32 = 3;
+/// Retry delay sent when the holder of a key could not be reached.
+const CLAIM_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 impl Keys {
-    /// Creates the keys' side of an entry that other entries reach at `addr`.
+    /// Creates the key state of an entry that other entries reach at `addr`.
     pub fn new(cfg: &EntryCfg, settings: &Settings, addr: SocketAddr) -> Self {
         let limits = ClaimLimits {
             retention: cfg.terms.retention,
             keys: MAX_KEYS / PARTITIONS,
             answer_bytes: cfg.kept_answer_bytes / PARTITIONS,
         };
-        let me = Tenure {
+        let own_tenure = Tenure {
             holder: addr.to_string(),
             run: fastrand::u64(1..),
             vm: settings.vm.clone(),
@@ -103,9 +103,9 @@
         };
         let platform = &settings.platform;
         Self {
-            me,
+            own_tenure,
             terms: cfg.terms,
-            most: cfg.max_key_partitions,
+            max_partitions: cfg.max_key_partitions,
             view: Mutex::default(),
             changed: Event::new(),
             claims: (0..PARTITIONS).map(|_| Mutex::new(Claims::new(limits))).collect(),
@@ -116,23 +116,23 @@
         }
     }
 
-    /// Number of partitions that this entry holds.
+    /// Returns the number of partitions that this entry holds.
     pub fn held(&self) -> usize {
         let view = self.view.lock();
-        view.table.partitions.iter().filter(|t| same_run(t, &self.me)).count()
+        view.table.partitions.iter().filter(|t| same_run(t, &self.own_tenure)).count()
     }
 
-    /// Whether this entry holds the first partition, and with it the work that one
-    /// entry does for all.
+    /// Whether this entry leads: it holds the first partition under a lease that has not
+    /// expired.
     pub fn leads(&self) -> bool {
         let first = self.holder(LEADING_PARTITION);
-        first.is_some_and(|t| same_run(&t, &self.me) && wall_clock() < t.until_ms)
+        first.is_some_and(|t| same_run(&t, &self.own_tenure) && wall_clock() < t.until_ms)
     }
 
-    /// Asks the holder of a key whether its request may run.
-    pub async fn claim(&self, key: &KeyAsk) -> Result<Answered, Refusal> {
+    /// Claims a key at the holder of its partition.
+    pub async fn claim(&self, key: &KeyClaim) -> Result<ClaimAnswer, Refusal> {
         let mut cause = String::new();
-        for _ in 0..CLAIM_TRIES {
+        for _ in 0..CLAIM_ATTEMPTS {
             let Some(holder) = self.holder(key.partition) else {
                 cause = "no entry holds the key's partition".into();
                 self.refresh().await;
@@ -151,19 +151,19 @@
             }
         }
         let text = format!("it can't be found out now whether this key has run: {cause}");
-        Err(Refusal::unknown(Step::Claim, text).retry_after(CLAIM_RETRY))
+        Err(Refusal::unknown(Step::Claim, text).retry_after(CLAIM_RETRY_DELAY))
     }
 
-    /// Tells the holder of a granted key how its request ended.
+    /// Reports to the holder of a granted key how the request ended.
     pub async fn settle(
         &self,
-        key: &KeyAsk,
+        key: &KeyClaim,
         settled: Settled,
         answer: Option<KeptAnswer>,
     ) {
-        for _ in 0..SETTLE_TRIES {
+        for _ in 0..SETTLE_ATTEMPTS {
             let Some(holder) = self.holder(key.partition) else { return };
-            if same_run(&holder, &self.me) {
+            if same_run(&holder, &self.own_tenure) {
                 return self.settle_here(key, settled, answer);
             }
             let req = SettleRequest {
@@ -174,45 +174,49 @@
                 answer: answer.clone(),
             };
             let Ok(mut client) = self.client(&holder).await else { continue };
-            if timed(client.settle(req)).await.is_ok() {
+            if with_call_timeout(client.settle(req)).await.is_ok() {
                 return;
             }
         }
-        // The holder counts the attempt as unclear once its deadline has passed.
-        tracing::warn!("a claim could not be settled");
+        // The holder treats the attempt as unknown once the attempt's deadline has
+        // passed.
+        tracing::warn!("claim not settled: the holder of the key did not answer");
     }
 
-    /// Answers for a key of a partition that this run may hold.
-    fn decide(&self, run: u64, key: KeyAsk) -> Answered {
+    /// Decides on a claim, if this run holds the key's partition.
+    fn decide(&self, run: u64, key: KeyClaim) -> ClaimAnswer {
         let now = wall_clock();
-        let foreign = Answered::new(Verdict::Foreign);
+        let foreign = ClaimAnswer::new(Verdict::Foreign);
         let Some(tenure) = self.holder(key.partition) else { return foreign };
-        if run != self.me.run || !same_run(&tenure, &self.me) {
+        if run != self.own_tenure.run || !same_run(&tenure, &self.own_tenure) {
             return foreign;
         }
         let mut claims = self.claims[key.partition].lock();
-        // Under the lock, so that what is handed over holds each granted claim.
+        // Checked under the lock, so that a handover includes every granted claim.
         if self.closing.load(Ordering::Acquire) {
             return foreign;
         }
         if let Some((verdict, answer)) = claims.look(now, &key.ask) {
-            return Answered { verdict, retry_after: None, answer };
+            return ClaimAnswer { verdict, retry_after: None, answer };
         }
-        match standing(&tenure, &self.terms, now, key.birth) {
+        match standing(&tenure, &self.terms, now, key.created_ms) {
             Standing::Known => {
                 let (verdict, answer) = claims.claim(now, key.ask);
-                Answered { verdict, retry_after: None, answer }
+                ClaimAnswer { verdict, retry_after: None, answer }
             }
-            Standing::Lost => Answered::new(Verdict::Unknown),
+            Standing::Lost => ClaimAnswer::new(Verdict::Unknown),
             Standing::LostUntil(at) => {
                 let wait = Duration::from_millis(at - now);
-                Answered { retry_after: Some(wait), ..Answered::new(Verdict::Unknown) }
+                ClaimAnswer {
+                    retry_after: Some(wait),
+                    ..ClaimAnswer::new(Verdict::Unknown)
+                }
             }
             Standing::Foreign => foreign,
         }
     }
 
-    fn settle_here(&self, key: &KeyAsk, settled: Settled, answer: Option<KeptAnswer>) {
+    fn settle_here(&self, key: &KeyClaim, settled: Settled, answer: Option<KeptAnswer>) {
         let answer = answer.map(|a| {
             let len = a.body.len();
             (a, len)
@@ -221,30 +225,31 @@
         claims.settle(key.ask.key, &key.ask.attempt, settled, answer);
     }
 
-    /// Returns the present tenure of a partition, if any run ever held it.
+    /// Returns the current tenure of a partition; `None` if no run ever held the
+    /// partition.
     fn holder(&self, partition: usize) -> Option<Tenure> {
         let view = self.view.lock();
         let tenure = view.table.partitions.get(partition)?;
         (!tenure.holder.is_empty()).then(|| tenure.clone())
     }
 
-    async fn ask(&self, holder: &Tenure, key: &KeyAsk) -> Result<Answered, Status> {
-        if same_run(holder, &self.me) {
-            return Ok(self.decide(self.me.run, key.clone()));
+    async fn ask(&self, holder: &Tenure, key: &KeyClaim) -> Result<ClaimAnswer, Status> {
+        if same_run(holder, &self.own_tenure) {
+            return Ok(self.decide(self.own_tenure.run, key.clone()));
         }
         let now = wall_clock();
         let req = ClaimRequest {
             partition: key.partition as u32,
             run: holder.run,
             key: key.ask.key.to_be_bytes().to_vec().into(),
-            birth_ms: key.birth,
+            birth_ms: key.created_ms,
             request: key.ask.request,
             attempt: key.ask.attempt.clone(),
             deadline_ms: key.ask.deadline.saturating_sub(now),
         };
         let mut client = self.client(holder).await?;
-        let reply = timed(client.claim(req)).await?;
-        Ok(Answered::from_reply(reply))
+        let reply = with_call_timeout(client.claim(req)).await?;
+        Ok(ClaimAnswer::from_reply(reply))
     }
 
     async fn client(&self, holder: &Tenure) -> Result<KeysClient<Channel>, Status> {
@@ -255,7 +260,7 @@
     }
 }
 
-impl Answered {
+impl ClaimAnswer {
     fn new(verdict: Verdict) -> Self {
         Self { verdict, retry_after: None, answer: None }
     }
@@ -270,8 +275,8 @@
     }
 }
 
-impl KeyAsk {
-    /// Creates the claim of a caller's key for a request with body hash `request`.
+impl KeyClaim {
+    /// Creates a claim of a caller's key for a request with the fingerprint `request`.
     pub fn new(
         caller: &str,
         key: &str,
@@ -283,7 +288,7 @@
         let deadline = wall_clock() + millis(left);
         Self {
             partition: (hash % PARTITIONS as u128) as usize,
-            birth: birth(key),
+            created_ms: created_ms(key),
             ask: Ask { key: hash, request, attempt, deadline },
         }
     }
@@ -291,30 +296,31 @@
 
 impl Debug for Keys {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Keys").field("me", &self.me).finish_non_exhaustive()
+        f.debug_struct("Keys").field("me", &self.own_tenure).finish_non_exhaustive()
     }
 }
 
 fn key_hash(caller: &str, key: &str) -> ClaimKey {
-    // A caller's name has no newline, so that no two pairs make the same text.
+    // A caller's name contains no newline, so two different pairs never give the same
+    // text.
     xxhash_rust::xxh3::xxh3_128(format!("{caller}\n{key}").as_bytes())
 }
 
-/// Returns the birth that a UUID of version 7 carries; 0 for any other key.
-fn birth(key: &str) -> Millis {
+/// Returns the creation time in a UUID of version 7; 0 for any other key.
+fn created_ms(key: &str) -> Millis {
     let uuid = Uuid::parse_str(key).ok().filter(|id| id.get_version_num() == 7);
     let time = uuid.and_then(|id| id.get_timestamp()).map(|t| t.to_unix());
     time.map_or(0, |(secs, nanos)| secs * 1000 + u64::from(nanos) / 1_000_000)
 }
 
-/// Returns the present time as births count it.
+/// Returns the current Unix time in milliseconds.
 fn wall_clock() -> Millis {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, millis)
 }
 
-/// Waits for a call to another entry, for a limited time.
-async fn timed<T>(
+/// Waits for a call to another entry, at most [`CALL_TIMEOUT`].
+async fn with_call_timeout<T>(
     call: impl std::future::Future<Output = Result<tonic::Response<T>, Status>>,
 ) -> Result<T, Status> {
     let late = || Err(Status::deadline_exceeded("no answer in time"));
--- a/crates/larkspring/src/entry/limits.rs
+++ b/crates/larkspring/src/entry/limits.rs
@@ -1,4 +1,4 @@
-//! Limits on the requests in progress, in all and for each caller.
+//! Limits on the requests in progress, in total and for each caller.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -11,7 +11,7 @@
 use larkspring_core::outcome::{Refusal, Step};
 use parking_lot::Mutex;
 
-/// Counts requests in progress.
+/// Counts and limits the requests in progress.
 #[derive(Debug)]
 pub struct CallerLimits {
     max: usize,
@@ -19,7 +19,7 @@
     counts: Arc<Counts>,
 }
 
-/// A request in progress; dropped when it ends.
+/// A slot for a request in progress, released when dropped.
 #[derive(Debug)]
 pub struct Permit {
     counts: Arc<Counts>,
@@ -30,20 +30,22 @@
 struct Counts {
     all: AtomicUsize,
     by_caller: Mutex<HashMap<CallerId, usize>>,
-    ended: Event,
+    released: Event,
 }
 
-const RETRY: Duration = Duration::from_secs(1);
+const OVER_LIMIT_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 impl CallerLimits {
-    /// Creates limits with nothing in progress.
+    /// Creates limits with no requests in progress.
     pub fn new(max: usize, max_per_caller: usize) -> Self {
         Self { max, max_per_caller, counts: Arc::default() }
     }
 
-    /// Counts a request in, or refuses it.
-    pub fn enter(&self, caller: &Caller) -> Result<Permit, Refusal> {
-        let refuse = |text| Refusal::not_run(Step::Admit, text).retry_after(RETRY);
+    /// Takes a slot for a request, or refuses the request if a limit is reached.
+    pub fn acquire(&self, caller: &Caller) -> Result<Permit, Refusal> {
+        let refuse = |text| {
+            Refusal::not_run(Step::Admit, text).retry_after(OVER_LIMIT_RETRY_DELAY)
+        };
         if self.counts.all.load(Ordering::Relaxed) >= self.max {
             return Err(refuse("the entry has too many requests in progress"));
         }
@@ -62,9 +64,9 @@
     }
 
     /// Waits until no request is in progress.
-    pub async fn idle(&self) {
+    pub async fn wait_idle(&self) {
         loop {
-            let listener = self.counts.ended.listen();
+            let listener = self.counts.released.listen();
             if self.counts.all.load(Ordering::Acquire) == 0 {
                 return;
             }
@@ -83,6 +85,6 @@
             }
         }
         self.counts.all.fetch_sub(1, Ordering::AcqRel);
-        self.counts.ended.notify(usize::MAX);
+        self.counts.released.notify(usize::MAX);
     }
 }
--- a/crates/larkspring/src/follow.rs
+++ b/crates/larkspring/src/follow.rs
@@ -1,9 +1,9 @@
-//! Following the declared state from process to process.
+//! Distribution of the declared state from process to process.
 //!
-//! The holders of the keys' partitions watch the object API; they are 64 at most. All
-//! other processes follow one of them, or one that follows them: a process with as many
-//! followers as it may have sends the next one on to one of its own. The tree builds
-//! itself by that, and no list of its members is kept anywhere.
+//! The holders of key partitions, at most 64, watch the object API. All other processes
+//! follow a holder, directly or through other followers: a process whose follower limit
+//! is reached redirects the next follower to one of its own followers. The tree forms
+//! without any list of its members.
 
 use std::collections::HashMap;
 use std::pin::Pin;
@@ -22,7 +22,7 @@
 use smol::Timer;
 use tonic::{Request, Response, Status, Streaming};
 
-use crate::entry::keys::TABLE;
+use crate::entry::keys::TABLE_OBJECT;
 use crate::exec::{self, within};
 use crate::in_force::InForce;
 use crate::platform::objects::{HttpObjects, ObjectApi};
@@ -30,97 +30,99 @@
 use crate::rpc::channel::Pool;
 use crate::settings::PlatformCfg;
 
-/// Follows the declared state and passes it on.
+/// Follows the declared state and relays it to followers.
 pub struct Follower {
     in_force: Arc<InForce>,
     api: HttpObjects,
-    /// The VM list, if there is one.
+    /// The VM list, if the settings name an address.
     vms: Option<HttpVms>,
     pool: Pool,
     peers: Vec<String>,
-    /// Address at which this process serves followers; empty if it doesn't.
-    relay: String,
-    /// When the last sign of life came, less its age.
-    alive: Mutex<Instant>,
-    /// Followers by number, with the address at which each serves others.
+    /// Address on which this process serves followers; empty if it serves none.
+    relay_addr: String,
+    /// Time of the last heartbeat, less its age.
+    last_heartbeat: Mutex<Instant>,
+    /// The address on which each follower serves others, by follower id.
     followers: Mutex<HashMap<u64, String>>,
 }
 
-/// Followers that a process serves before it sends the next one on.
+/// Followers that a process serves before it redirects the next follower.
 const FANOUT: usize = 12;
-/// Followers that it serves if there is nobody to send them on to.
-const MOST_FOLLOWERS: usize = 256;
-/// How often the VM list is read by each process that watches the object API.
+/// Maximum number of followers if there is no process to redirect to.
+const MAX_FOLLOWERS: usize = 256;
+/// Interval between reads of the VM list by each process that watches the object API.
 const VM_LIST_INTERVAL: Duration = Duration::from_secs(1);
-/// How often a sign of life is sent.
-const ALIVE: Duration = Duration::from_secs(1);
-/// Age of the last sign of life at which another process is followed.
-const STALE: Duration = Duration::from_millis(2500);
+/// Heartbeat interval.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
+/// Age of the last heartbeat at which another process is followed.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(2500);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause before the next process is asked, at first and at most.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-const LONGEST_PAUSE: Duration = Duration::from_secs(5);
-/// Failures after which the table is read anew.
-const FAILURES_A_READ: u32 = 3;
-/// Bytes of chunks in one message.
-const MESSAGE_BYTES: usize = 256 * 1024;
-const READY_MESSAGES: usize = 2;
-/// Times that a follower is sent on before it begins again at the top.
-const MOST_REDIRECTS: u32 = 4;
+/// Initial and maximum pause before the next process is followed.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
+/// Consecutive failures after which the table is read again.
+const FAILURES_PER_READ: u32 = 3;
+/// Size of the chunks in one message, in bytes, after which the next message begins.
+const MESSAGE_SPLIT_BYTES: usize = 256 * 1024;
+const MAX_QUEUED_MESSAGES: usize = 2;
+/// Redirects that a follower accepts before it starts again at the root.
+const MAX_REDIRECTS: u32 = 4;
 
 impl Follower {
-    /// Creates a follower; `relay` is where it serves others, or empty.
-    pub fn new(in_force: Arc<InForce>, cfg: &PlatformCfg, relay: String) -> Self {
+    /// Creates a follower; `relay_addr` is the address on which it serves others, or empty.
+    pub fn new(in_force: Arc<InForce>, cfg: &PlatformCfg, relay_addr: String) -> Self {
         Self {
             in_force,
             api: HttpObjects::new(&cfg.objects, cfg.timeout),
             vms: (!cfg.vms.is_empty()).then(|| HttpVms::new(&cfg.vms, cfg.timeout)),
             pool: Pool::new(1, CONNECT_TIMEOUT),
             peers: cfg.peers.clone(),
-            relay,
-            alive: Mutex::new(Instant::now()),
+            relay_addr,
+            last_heartbeat: Mutex::new(Instant::now()),
             followers: Mutex::default(),
         }
     }
 
-    /// Follows for ever; watches the object API itself while `is_root` says so.
+    /// Follows the declared state and watches the object API directly while `is_root`
+    /// returns true; never returns.
     pub async fn run(&self, is_root: impl Fn() -> bool) {
-        let mut holders = Vec::new();
+        let mut roots = Vec::new();
         let mut failures = 0;
         loop {
             if is_root() {
                 let watch = self.in_force.watch(&self.api, &is_root);
-                watch.or(self.be_alive()).or(self.watch_vms()).await;
+                watch.or(self.keep_heartbeat()).or(self.watch_vms()).await;
             }
-            // The table is read seldom, so that a hall's loss sends no herd to the API.
-            let stale = failures % FAILURES_A_READ == FAILURES_A_READ - 1;
-            if holders.is_empty() || stale {
-                holders = self.holders().await.unwrap_or(holders);
+            // The table is read rarely, so that the loss of a hall causes no burst of
+            // reads at the object API.
+            let stale = failures % FAILURES_PER_READ == FAILURES_PER_READ - 1;
+            if roots.is_empty() || stale {
+                roots = self.roots().await.unwrap_or(roots);
             }
-            let none = holders.is_empty();
-            let first = fastrand::choice(if none { &self.peers } else { &holders });
+            let none = roots.is_empty();
+            let first = fastrand::choice(if none { &self.peers } else { &roots });
             let began = Instant::now();
             if let Some(first) = first.cloned() {
-                if let Err(status) = self.descend(first).await {
-                    tracing::info!(%status, "another process is followed");
+                if let Err(status) = self.follow_tree(first).await {
+                    tracing::info!(%status, "following another process");
                 }
             }
-            let lived = *self.alive.lock() > began;
+            let lived = *self.last_heartbeat.lock() > began;
             failures = if lived { 0 } else { failures + 1 };
             let mut rng = fastrand::Rng::new();
-            Timer::after(backoff(FIRST_PAUSE, LONGEST_PAUSE, failures, &mut rng)).await;
+            Timer::after(backoff(INITIAL_BACKOFF, MAX_BACKOFF, failures, &mut rng)).await;
         }
     }
 
-    /// Gives signs of life for ever.
-    async fn be_alive(&self) {
+    /// Keeps the heartbeat of a root current; never returns.
+    async fn keep_heartbeat(&self) {
         loop {
-            *self.alive.lock() = Instant::now();
-            Timer::after(ALIVE / 2).await;
+            *self.last_heartbeat.lock() = Instant::now();
+            Timer::after(HEARTBEAT_INTERVAL / 2).await;
         }
     }
 
-    /// Reads the VM list for ever; while it can't be read the last one counts.
+    /// Polls the VM list; while reads fail the last list stays in effect. Never returns.
     async fn watch_vms(&self) {
         let Some(vms) = &self.vms else { return std::future::pending().await };
         loop {
@@ -130,30 +132,32 @@
                     let names = leaving.map(|vm| vm.name).collect();
                     self.in_force.set_leaving_vms(names);
                 }
-                Err(e) => tracing::warn!(error = %e, "the VM list can't be read"),
+                Err(e) => {
+                    tracing::warn!(error = %e, "VM list not read, keeping the last one")
+                }
             }
             Timer::after(VM_LIST_INTERVAL).await;
         }
     }
 
     /// Returns the addresses of the processes that watch the object API.
-    async fn holders(&self) -> Option<Vec<String>> {
-        let object = self.api.get(TABLE).await.ok()??;
+    async fn roots(&self) -> Option<Vec<String>> {
+        let object = self.api.get(TABLE_OBJECT).await.ok()??;
         let table: KeyTable = serde_json::from_slice(&object.value).ok()?;
-        let holders = table.partitions.into_iter().map(|t| t.holder);
-        let mut holders: Vec<_> =
-            holders.filter(|addr| !addr.is_empty() && *addr != self.relay).collect();
-        holders.sort();
-        holders.dedup();
-        Some(holders)
+        let roots = table.partitions.into_iter().map(|t| t.holder);
+        let mut roots: Vec<_> =
+            roots.filter(|addr| !addr.is_empty() && *addr != self.relay_addr).collect();
+        roots.sort();
+        roots.dedup();
+        Some(roots)
     }
 
-    /// Follows a process, or one to which it sends this one on, until that fails.
-    async fn descend(&self, first: String) -> Result<(), Status> {
+    /// Follows a process, or one to which it redirects, until the stream ends or fails.
+    async fn follow_tree(&self, first: String) -> Result<(), Status> {
         let mut addr = first;
-        for _ in 0..=MOST_REDIRECTS {
-            let mut down = self.open(&addr).await?;
-            match self.take(&mut down).await? {
+        for _ in 0..=MAX_REDIRECTS {
+            let mut down = self.open_stream(&addr).await?;
+            match self.receive(&mut down).await? {
                 Some(next) => addr = next,
                 None => return Ok(()),
             }
@@ -161,36 +165,41 @@
         Err(Status::resource_exhausted("sent on too often"))
     }
 
-    async fn open(&self, addr: &str) -> Result<Streaming<Update>, Status> {
+    async fn open_stream(&self, addr: &str) -> Result<Streaming<Update>, Status> {
         let unavailable = |e: String| Status::unavailable(format!("{addr}: {e}"));
         let channel = self.pool.get(addr).await;
         let channel = channel.map_err(|e| unavailable(e.to_string()))?;
         let origin = channel.origin();
         let state = self.in_force.state();
         let chunks = state.parts().iter().map(|part| part.hash.clone()).collect();
-        let req = FollowRequest { relay: self.relay.clone(), chunks };
+        let req = FollowRequest { relay: self.relay_addr.clone(), chunks };
         let mut client = ConfigClient::with_origin(channel, origin);
         let late = || Err(Status::deadline_exceeded("no answer in time"));
-        let reply = within(STALE, client.follow(req)).await.unwrap_or_else(late)?;
+        let reply =
+            within(HEARTBEAT_TIMEOUT, client.follow(req)).await.unwrap_or_else(late)?;
         Ok(reply.into_inner())
     }
 
-    /// Takes in updates until the stream fails; returns whom to follow instead.
-    async fn take(&self, down: &mut Streaming<Update>) -> Result<Option<String>, Status> {
+    /// Applies updates until the stream ends; returns the address to follow instead, if
+    /// redirected.
+    async fn receive(
+        &self,
+        down: &mut Streaming<Update>,
+    ) -> Result<Option<String>, Status> {
         let mut changed = HashMap::new();
         loop {
             let late = || Some(Err(Status::deadline_exceeded("no sign of life")));
-            let next = within(STALE, down.next()).await.unwrap_or_else(late);
+            let next = within(HEARTBEAT_TIMEOUT, down.next()).await.unwrap_or_else(late);
             let Some(update) = next else { return Ok(None) };
             let update = update?;
             if !update.redirect.is_empty() {
                 return Ok(fastrand::choice(update.redirect));
             }
             let age = Duration::from_millis(update.age_ms);
-            if age > STALE {
+            if age > HEARTBEAT_TIMEOUT {
                 return Err(Status::unavailable("it follows nobody that is alive"));
             }
-            *self.alive.lock() =
+            *self.last_heartbeat.lock() =
                 Instant::now().checked_sub(age).unwrap_or_else(Instant::now);
             self.in_force.set_leaving_vms(update.leaving_vms);
             for chunk in update.changed {
@@ -222,8 +231,8 @@
         Ok(())
     }
 
-    /// Counts a follower in, or says to whom it is sent on.
-    fn admit(&self, relay: &str) -> Result<u64, Vec<String>> {
+    /// Registers a follower and returns its id, or returns the addresses to redirect to.
+    fn register(&self, relay: &str) -> Result<u64, Vec<String>> {
         let mut followers = self.followers.lock();
         let onward: Vec<_> = followers
             .values()
@@ -231,7 +240,7 @@
             .cloned()
             .collect();
         let full = followers.len() >= FANOUT && !onward.is_empty();
-        if full || followers.len() >= MOST_FOLLOWERS {
+        if full || followers.len() >= MAX_FOLLOWERS {
             return Err(onward);
         }
         let id = fastrand::u64(..);
@@ -242,7 +251,7 @@
 
 /// Serves followers of a process.
 pub struct Service {
-    /// What is passed on.
+    /// The follower whose state is relayed.
     pub follower: Arc<Follower>,
 }
 
@@ -255,11 +264,11 @@
         req: Request<FollowRequest>,
     ) -> Result<Response<Self::FollowStream>, Status> {
         let req = req.into_inner();
-        let (tx, rx) = bounded(READY_MESSAGES);
-        match self.follower.admit(&req.relay) {
+        let (tx, rx) = bounded(MAX_QUEUED_MESSAGES);
+        match self.follower.register(&req.relay) {
             Ok(id) => {
                 let follower = self.follower.clone();
-                exec::spawn(pass_on(follower, id, req.chunks, tx)).detach();
+                exec::spawn(serve_follower(follower, id, req.chunks, tx)).detach();
             }
             Err(redirect) if redirect.is_empty() => {
                 return Err(Status::resource_exhausted("too many followers"));
@@ -272,8 +281,8 @@
     }
 }
 
-/// Sends a follower each change and signs of life, until it has gone.
-async fn pass_on(
+/// Sends a follower each change and heartbeats until the follower disconnects.
+async fn serve_follower(
     follower: Arc<Follower>,
     id: u64,
     mut held: Vec<String>,
@@ -285,11 +294,11 @@
         let state = follower.in_force.state();
         let messages = match state.revision == sent {
             true => vec![Update::default()],
-            false => changes(&state, &mut held),
+            false => updates(&state, &mut held),
         };
         sent = state.revision;
         drop(state);
-        let age = follower.alive.lock().elapsed().as_millis() as u64;
+        let age = follower.last_heartbeat.lock().elapsed().as_millis() as u64;
         for mut message in messages {
             message.age_ms = age;
             message.leaving_vms = follower.in_force.leaving_vms().to_vec();
@@ -298,12 +307,12 @@
                 return;
             }
         }
-        within(ALIVE, changed).await;
+        within(HEARTBEAT_INTERVAL, changed).await;
     }
 }
 
-/// Returns the messages that bring a follower with the chunks `held` to `state`.
-fn changes(
+/// Returns the messages that update a follower from the chunks `held` to `state`.
+fn updates(
     state: &larkspring_core::declared::State,
     held: &mut Vec<String>,
 ) -> Vec<Update> {
@@ -316,7 +325,7 @@
             continue;
         }
         held[place] = part.hash.clone();
-        if bytes > MESSAGE_BYTES {
+        if bytes > MESSAGE_SPLIT_BYTES {
             messages.push(Update::default());
             bytes = 0;
         }
--- a/crates/larkspring/src/telemetry.rs
+++ b/crates/larkspring/src/telemetry.rs
@@ -1,4 +1,4 @@
-//! Logs as JSON lines, spans of each hop and metrics.
+//! Logs as JSON lines, trace spans of each hop, and metrics.
 
 use std::fmt::Display;
 use std::io;
@@ -16,31 +16,32 @@
 use crate::settings::TelemetryCfg;
 
 /// Prefix of every metric.
-const PREFIX: &str = "larkspring";
+const METRIC_PREFIX: &str = "larkspring";
 
-/// Where log lines go.
+/// Output of the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogTo {
-    /// Standard output, as for every process of a deployment.
+    /// Standard output, for the processes of a deployment.
     Stdout,
     /// Standard error, for commands whose standard output is read by a person.
     Stderr,
 }
 
-/// Keeps the log going; the lines that wait are written when it is dropped.
+/// Keeps the log writer running, and writes the buffered lines when dropped.
 #[must_use]
 #[derive(Debug)]
 pub struct LogGuard(#[allow(dead_code)] WorkerGuard);
 
-/// Lines that may wait for a reader that is slow; more are left out, as a request never
-/// waits for the log.
-const WAITING_LINES: usize = 4096;
+/// Lines buffered for a slow reader; further lines are dropped, as a request never waits
+/// for the log.
+const MAX_BUFFERED_LINES: usize = 4096;
 
-/// Starts the log of the process on a VM; later calls change nothing.
+/// Starts the log of a process on VM `vm`; later calls have no effect.
 pub fn start_log(vm: &str, level: tracing::Level, spans: bool, to: LogTo) -> LogGuard {
     let spans = if spans { FmtSpan::CLOSE } else { FmtSpan::NONE };
-    let lines =
-        NonBlockingBuilder::default().buffered_lines_limit(WAITING_LINES).lossy(true);
+    let lines = NonBlockingBuilder::default()
+        .buffered_lines_limit(MAX_BUFFERED_LINES)
+        .lossy(true);
     let (writer, guard) = match to {
         LogTo::Stdout => lines.finish(io::stdout()),
         LogTo::Stderr => lines.finish(io::stderr()),
@@ -51,34 +52,34 @@
         .with_target(false)
         .with_max_level(level)
         .with_span_events(spans)
-        .with_writer(Named::new(writer, vm));
-    // In one process with several roles the first one starts the log.
+        .with_writer(VmPrefixWriter::new(writer, vm));
+    // In a process with several roles the first role starts the log.
     let _ = log.try_init();
     LogGuard(guard)
 }
 
-/// Writes lines that begin with the name of the VM, so that those of several processes can
-/// be told apart once they are merged.
+/// Writes lines that begin with the name of the VM, so that lines of several processes
+/// can be distinguished after merging.
 #[derive(Clone)]
-struct Named {
+struct VmPrefixWriter {
     inner: NonBlocking,
-    /// Takes the place of the brace that opens a line.
-    head: Arc<str>,
+    /// Replaces the opening brace of a line.
+    prefix: Arc<str>,
 }
 
-impl Named {
+impl VmPrefixWriter {
     fn new(inner: NonBlocking, vm: &str) -> Self {
         let vm = serde_json::Value::from(vm);
-        Self { inner, head: format!("{{\"vm\":{vm},").into() }
+        Self { inner, prefix: format!("{{\"vm\":{vm},").into() }
     }
 }
 
-impl io::Write for Named {
-    /// Writes one whole line, as the formatter hands it over.
+impl io::Write for VmPrefixWriter {
+    /// Writes one line; the formatter passes whole lines.
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         match line.split_first() {
             Some((b'{', rest)) => {
-                let named = [self.head.as_bytes(), rest].concat();
+                let named = [self.prefix.as_bytes(), rest].concat();
                 self.inner.write_all(&named)?;
             }
             _ => self.inner.write_all(line)?,
@@ -91,7 +92,7 @@
     }
 }
 
-impl MakeWriter<'_> for Named {
+impl MakeWriter<'_> for VmPrefixWriter {
     type Writer = Self;
 
     fn make_writer(&self) -> Self {
@@ -99,18 +100,18 @@
     }
 }
 
-/// Sends metrics to a statsd address, or nowhere.
+/// Sends metrics to a statsd address, if the settings name one.
 #[derive(Debug, Clone)]
 pub struct Metrics {
     client: Arc<StatsdClient>,
 }
 
 impl Metrics {
-    /// Opens the way to the address in the settings, if there is one.
+    /// Creates a client for the address in the settings, or one that drops all metrics.
     pub fn new(cfg: &TelemetryCfg) -> Self {
         let client = match udp_sink(&cfg.statsd) {
-            Some(sink) => StatsdClient::from_sink(PREFIX, sink),
-            None => StatsdClient::from_sink(PREFIX, NopMetricSink),
+            Some(sink) => StatsdClient::from_sink(METRIC_PREFIX, sink),
+            None => StatsdClient::from_sink(METRIC_PREFIX, NopMetricSink),
         };
         Self { client: Arc::new(client) }
     }
@@ -120,7 +121,7 @@
         self.client.count_with_tags(name, 1).with_tag(tag, value).send();
     }
 
-    /// Records how long something took.
+    /// Records a duration in milliseconds.
     pub fn time(&self, name: &str, took: Duration) {
         let _ = self.client.time(name, took.as_millis() as u64);
     }
@@ -136,12 +137,12 @@
     Some(QueuingMetricSink::from(sink))
 }
 
-/// Place of a request in a distributed trace, as in W3C Trace Context.
+/// Position of a request in a distributed trace, by W3C Trace Context.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TraceParent {
-    /// Hex digits of the whole trace.
+    /// Trace id in hex digits.
     pub trace: String,
-    /// Hex digits of the span of this hop.
+    /// Id of this hop's span in hex digits.
     pub span: String,
 }
 
@@ -149,9 +150,9 @@
 const SPAN_LEN: usize = 16;
 
 impl TraceParent {
-    /// Starts the span of this hop, within the trace of `header` if that is valid.
+    /// Starts the span of this hop, in the trace of `header` if that is valid.
     pub fn next(header: Option<&str>) -> Self {
-        let trace = header.and_then(trace_of);
+        let trace = header.and_then(parse_trace_id);
         let new = || format!("{:032x}", fastrand::u128(1..));
         Self {
             trace: trace.unwrap_or_else(new),
@@ -166,7 +167,7 @@
     }
 }
 
-fn trace_of(header: &str) -> Option<String> {
+fn parse_trace_id(header: &str) -> Option<String> {
     let mut parts = header.split('-');
     let (_, trace, span) = (parts.next()?, parts.next()?, parts.next()?);
     let hex = |s: &str| s.bytes().all(|b| b.is_ascii_hexdigit());
