--- a/crates/larkspring-core/src/engine_scheduler.rs
+++ b/crates/larkspring-core/src/engine_scheduler.rs
@@ -1,7 +1,8 @@
 //! Scheduling of adapter loads, unloads and request starts at an agent.
 //!
-//! The agent records each event and then calls [`EngineScheduler::schedule`] for the actions that
-//! follow. Requests that wait for an adapter are kept outside the engine's batch.
+//! The agent records each event and then calls [`EngineScheduler::schedule`] for the
+//! actions that follow. Requests that wait for an adapter are kept outside the engine's
+//! batch.
 
 mod fresh;
 mod limits;
--- a/crates/larkspring-core/src/fleet/availability.rs
+++ b/crates/larkspring-core/src/fleet/availability.rs
@@ -73,8 +73,8 @@
         *self == Self::default()
     }
 
-    /// Returns the notice with a missing rate replaced by [`AdvertisedRate::Invalid`], for
-    /// answers in which a missing rate does not show that the endpoint has no limit.
+    /// Returns the notice with a missing rate replaced by [`AdvertisedRate::Invalid`],
+    /// for answers in which a missing rate does not show that the endpoint has no limit.
     pub fn ignoring_missing_rate(self) -> Self {
         match self.rate {
             AdvertisedRate::Missing => Self { rate: AdvertisedRate::Invalid, ..self },
@@ -93,9 +93,9 @@
 impl Availability {
     /// Applies the notice of an answer of the run, and returns the changes.
     ///
-    /// `sent_at` is when the request was sent. `share`, from 0 to 1, is this VM's position
-    /// in the spread of VMs that return after a backoff. Each answer's backoff is
-    /// independent: a shorter backoff, or none, does not end a longer one.
+    /// `sent_at` is when the request was sent. `share`, from 0 to 1, is this VM's
+    /// position in the spread of VMs that return after a backoff. Each answer's backoff
+    /// is independent: a shorter backoff, or none, does not end a longer one.
     pub fn apply_notice(
         &mut self,
         now: Instant,
--- a/crates/larkspring-core/src/fleet/choose.rs
+++ b/crates/larkspring-core/src/fleet/choose.rs
@@ -57,7 +57,8 @@
     WeightStore,
 }
 
-/// Placement policies. All but [`PlacementPolicy::LeastCost`] are baselines for benchmarks.
+/// Placement policies. All but [`PlacementPolicy::LeastCost`] are baselines for
+/// benchmarks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum PlacementPolicy {
     /// The endpoint with the least cost.
--- a/crates/larkspring-core/src/fleet/permits.rs
+++ b/crates/larkspring-core/src/fleet/permits.rs
@@ -8,8 +8,8 @@
 //!
 //! Bound: in no interval of `w` seconds may more than `1.5 r w + 5` requests reach a run
 //! that advertises the rate `r`. Requests that arrive within `w` were granted within `w`
-//! plus [`PERMIT_LIFETIME`]. For `w` of 4 s these are `4.4 r + 2` by the primary and `1.3 r + 1`
-//! by the secondary issuer, which is below the bound for each `r`.
+//! plus [`PERMIT_LIFETIME`]. For `w` of 4 s these are `4.4 r + 2` by the primary and
+//! `1.3 r + 1` by the secondary issuer, which is below the bound for each `r`.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
--- a/crates/larkspring-core/src/fleet/quality.rs
+++ b/crates/larkspring-core/src/fleet/quality.rs
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Records a successful answer with `mean_response_time` to the first byte.
+    /// Records a successful answer with `time` to the first byte.
     pub fn record_success(&mut self, now: Instant, time: Duration) {
         self.decay(now);
         self.answers += 1.0;
--- a/crates/larkspring-core/src/fleet/urgency.rs
+++ b/crates/larkspring-core/src/fleet/urgency.rs
@@ -27,8 +27,8 @@
 /// Returns the prefill urgency of a prompt.
 ///
 /// `rank` is the priority of its route, 0 the highest; `left` is the time until the
-/// answer would begin late; `uncached_tokens` is the number of tokens that the engine has not
-/// processed before.
+/// answer would begin late; `uncached_tokens` is the number of tokens that the engine has
+/// not processed before.
 pub fn urgency(rank: u32, left: Duration, uncached_tokens: u32) -> Urgency {
     let prefill = Duration::from_secs_f64(
         f64::from(uncached_tokens) / PREFILL_TOKENS_PER_MS / 1000.0,
--- a/crates/larkspring-core/src/limits/mod.rs
+++ b/crates/larkspring-core/src/limits/mod.rs
@@ -3,8 +3,10 @@
 //! One process, the bucket owner, holds a bucket for each workspace. Entries reserve
 //! units at the bucket owner ahead of use and admit requests from their reservations.
 //!
-//! 1. [`reservations`]: the reservations of an entry, and the requests that wait for units.
-//! 2. [`serving_time`]: the serving time that an entry reports with each request for units.
+//! 1. [`reservations`]: the reservations of an entry, and the requests that wait for
+//!    units.
+//! 2. [`serving_time`]: the serving time that an entry reports with each request for
+//!    units.
 //! 3. [`bucket_owner`]: the buckets, and the units granted for each request.
 //!
 //! # Bound
--- a/crates/larkspring-core/src/limits/reservations.rs
+++ b/crates/larkspring-core/src/limits/reservations.rs
@@ -124,8 +124,8 @@
     }
 
     /// Decides on a request of `cost` units, or returns `None` if the request has to wait
-    /// for an answer of the bucket owner. [`Self::apply_grants`] or [`Self::expire_unanswered`] then
-    /// returns the decision.
+    /// for an answer of the bucket owner. [`Self::apply_grants`] or
+    /// [`Self::expire_unanswered`] then returns the decision.
     pub fn admit(
         &mut self,
         now: Instant,
@@ -157,8 +157,9 @@
     }
 
     /// Returns the units to request from the bucket owner now. Each is then outstanding
-    /// until [`Self::apply_grants`] or [`Self::expire_unanswered`]. With `is_poll`, for the periodic
-    /// request that is sent in any case, the result also holds demand that is not urgent.
+    /// until [`Self::apply_grants`] or [`Self::expire_unanswered`]. With `is_poll`, for
+    /// the periodic request that is sent in any case, the result also holds demand that
+    /// is not urgent.
     pub fn units_to_request(
         &mut self,
         now: Instant,
--- a/crates/larkspring/src/direct/agent/mod.rs
+++ b/crates/larkspring/src/direct/agent/mod.rs
@@ -2,13 +2,14 @@
 //! resident.
 //!
 //! 1. [`serve`]: accepts entries, each on one connection.
-//! 2. [`controller`]: decides with `core::engine_scheduler` which adapters are loaded; one
-//!    task owns the state.
+//! 2. [`controller`]: decides with `core::engine_scheduler` which adapters are loaded;
+//!    one task owns the state.
 //! 3. [`orders`]: applies the engine's reports and issues the orders that follow.
 //! 4. [`publish`]: publishes the engine's state to the entries.
 //! 5. [`driver`]: requests the engine's reports and sends it orders, one at a time.
 //! 6. [`state_cache`]: reads the declared state once for all entries of the hall.
-//! 7. [`quarantine_sync`]: keeps quarantined request fingerprints in the platform's store.
+//! 7. [`quarantine_sync`]: keeps quarantined request fingerprints in the platform's
+//!    store.
 
 mod controller;
 mod driver;
--- a/crates/larkspring/src/direct/cfg.rs
+++ b/crates/larkspring/src/direct/cfg.rs
@@ -48,9 +48,9 @@
 /// Fraction of the trusted time for which a read of the routing waits for a change: two
 /// consecutive reads and an entry's own pause have to fit into half of the trusted time.
 const ROUTING_WAIT_FRACTION: f64 = 0.2;
-/// Fraction of [`ProcessCfg::version_bound`] within which a new version becomes known. The
-/// rest is left for loading it and for requests that still wait to start on the previous
-/// version.
+/// Fraction of [`ProcessCfg::version_bound`] within which a new version becomes known.
+/// The rest is left for loading it and for requests that still wait to start on the
+/// previous version.
 const VERSION_KNOWN_FRACTION: f64 = 0.8;
 
 impl ProcessCfg {
--- a/crates/larkspring/src/direct/entry/mod.rs
+++ b/crates/larkspring/src/direct/entry/mod.rs
@@ -2,8 +2,8 @@
 //! endpoints.
 //!
 //! 1. [`connections`]: caller connections, their limits and shutdown.
-//! 2. [`request_handler`]: handling of one request; [`admission`] authenticates its caller,
-//!    [`workspace_limits`] enforces the limit of its workspace.
+//! 2. [`request_handler`]: handling of one request; [`admission`] authenticates its
+//!    caller, [`workspace_limits`] enforces the limit of its workspace.
 //! 3. [`select`]: endpoint selection and the wait for the request's adapter.
 //! 4. [`attempt`]: sending to an endpoint and classification of the answer by its head.
 //! 5. [`relay`]: the answer's body; an interrupted stream is resumed at another endpoint.
--- a/crates/larkspring/src/direct/entry/select.rs
+++ b/crates/larkspring/src/direct/entry/select.rs
@@ -50,9 +50,10 @@
 impl RequestHandler {
     /// Selects an endpoint and waits until the endpoint can take the request.
     ///
-    /// If no endpoint is available, waits for the duration of [`RequestHandler::max_wait`]. If all
-    /// are in backoff or have used up their rates, refuses the request at once unless the
-    /// first becomes available within the latency objective.
+    /// If no endpoint is available, waits for the duration of
+    /// [`RequestHandler::max_wait`]. If all are in backoff or have used up their rates,
+    /// refuses the request at once unless the first becomes available within the latency
+    /// objective.
     pub(super) async fn select_endpoint(&mut self) -> Result<Selection, NoSelection> {
         let mut denials = 0;
         loop {
--- a/crates/larkspring/src/direct/entry/workspace_limits.rs
+++ b/crates/larkspring/src/direct/entry/workspace_limits.rs
@@ -204,9 +204,9 @@
         }
     }
 
-    /// Returns the serving time that a request to a bucket owner reports. After a change of
-    /// the owner, units from the previous owner stay usable but are not returned to the
-    /// new one.
+    /// Returns the serving time that a request to a bucket owner reports. After a change
+    /// of the owner, units from the previous owner stay usable but are not returned to
+    /// the new one.
     fn serving_time(
         &self,
         now: Instant,
--- a/crates/larkspring/src/direct/mod.rs
+++ b/crates/larkspring/src/direct/mod.rs
@@ -9,8 +9,9 @@
 //! 2. [`agent`]: loads the adapter that the request names and keeps it resident while the
 //!    request runs.
 //!
-//! [`watch`] follows the platform's declared state and applies it to [`replicated_state`].
-//! [`platform_api`] holds all interfaces that an adapter for a platform has to implement.
+//! [`watch`] follows the platform's declared state and applies it to
+//! [`replicated_state`]. [`platform_api`] holds all interfaces that an adapter for a
+//! platform has to implement.
 
 pub mod agent;
 pub mod cfg;
--- a/crates/larkspring/src/distribution.rs
+++ b/crates/larkspring/src/distribution.rs
@@ -69,7 +69,8 @@
 const MAX_REDIRECTS: u32 = 4;
 
 impl StateDistributor {
-    /// Creates a follower; `relay_addr` is the address on which it serves others, or empty.
+    /// Creates a follower; `relay_addr` is the address on which it serves others, or
+    /// empty.
     pub fn new(in_force: Arc<InForce>, cfg: &PlatformCfg, relay_addr: String) -> Self {
         Self {
             in_force,
--- a/crates/larkspring/src/lib.rs
+++ b/crates/larkspring/src/lib.rs
@@ -4,8 +4,8 @@
 //!
 //! 1. [`http`]: the caller's request is read within limits.
 //! 2. [`entry`]: the request is checked, an endpoint is chosen and the answer is relayed.
-//! 3. [`rpc`]: the request goes to the endpoint's agent, and the answer returns under flow
-//!    control by credit.
+//! 3. [`rpc`]: the request goes to the endpoint's agent, and the answer returns under
+//!    flow control by credit.
 //! 4. [`agent`]: the request waits for its adapter and runs on the engine or service.
 //!
 //! On a platform whose endpoints decide themselves whether a request runs, [`direct`]
--- a/crates/larkspring/tests/clock.rs
+++ b/crates/larkspring/tests/clock.rs
@@ -6,9 +6,9 @@
 use larkspring::direct::platform_api::StateKind;
 use larkspring::direct::replicated_state::ReplicatedState;
 
-/// Guards against an entry that keeps serving from its view of the keys after a suspension:
-/// the monotonic clock stops meanwhile, so the view would seem fresh, and keys removed during
-/// the suspension would still be accepted.
+/// Guards against an entry that keeps serving from its view of the keys after a
+/// suspension: the monotonic clock stops meanwhile, so the view would seem fresh, and
+/// keys removed during the suspension would still be accepted.
 #[test]
 fn proof_of_the_keys_ages_during_a_vm_suspension() {
     const SUSPENDED: Duration = Duration::from_secs(60);
