--- a/crates/larkspring/src/direct/entry/attempt.rs
+++ b/crates/larkspring/src/direct/entry/attempt.rs
@@ -142,7 +142,7 @@
     ) -> Result<(Response<Incoming>, EndpointConn), SendError> {
         let endpoint = peer.endpoint();
         // Last check before the first byte: since the selection, another answer may have
-        // reported that the endpoint drains, backs off, or has a rate limit.
+        // reported that the endpoint drains, asks for a backoff, or has a rate limit.
         if !peer.is_open() {
             let cause = "the endpoint is draining or in backoff".into();
             return Err(SendError::Unsent(endpoint.addr.to_string(), cause));
--- a/crates/larkspring/src/direct/entry/peer.rs
+++ b/crates/larkspring/src/direct/entry/peer.rs
@@ -143,7 +143,7 @@
         !gone && !self.endpoint.load().leaving && self.replaced_by().is_none()
     }
 
-    /// Applies a notice from an answer to a request sent at `asked`, or from the agent,
+    /// Applies a notice from an answer to a request sent at `sent_at`, or from the agent,
     /// and returns the changes.
     pub fn apply_notice(&self, sent_at: Instant, notice: Notice) -> AvailabilityChanges {
         self.availability.lock().apply_notice(
--- a/crates/larkspring/src/in_force.rs
+++ b/crates/larkspring/src/in_force.rs
@@ -86,8 +86,8 @@
         }
     }
 
-    /// Watches the object API while `go_on` returns true. The state in force stays in
-    /// effect while the object API is unavailable.
+    /// Watches the object API while `keep_watching` returns true. The state in force
+    /// stays in effect while the object API is unavailable.
     pub async fn watch(&self, api: &dyn ObjectApi, keep_watching: impl Fn() -> bool) {
         let mut seen = 0;
         let mut failures = 0;
