--- a/crates/larkspring/src/direct/entry/directory.rs
+++ b/crates/larkspring/src/direct/entry/directory.rs
@@ -289,7 +289,7 @@
 }
 
 impl StateStore for HallDirectory {
-    fn fetch(&self, ask: StateQuery) -> PlatformFuture<'_, ReadOutcome> {
+    fn read(&self, ask: StateQuery) -> PlatformFuture<'_, ReadOutcome> {
         Box::pin(self.read_any(ask))
     }
 
--- a/crates/larkspring/src/direct/platform_api.rs
+++ b/crates/larkspring/src/direct/platform_api.rs
@@ -24,7 +24,7 @@
 /// The declared state of a platform.
 pub trait StateStore: Send + Sync {
     /// Reads items of a kind, without decoding them.
-    fn fetch(&self, ask: StateQuery) -> PlatformFuture<'_, ReadOutcome>;
+    fn read(&self, ask: StateQuery) -> PlatformFuture<'_, ReadOutcome>;
 
     /// Decodes items that were read.
     fn decode(
--- a/crates/larkspring/src/direct/reader.rs
+++ b/crates/larkspring/src/direct/reader.rs
@@ -48,7 +48,7 @@
         let Some(after) = ask.changes else { return self.list(ask.kind).await };
         let limit = after.max_wait + self.answer_timeout(pace);
         let began = Instant::now();
-        match with_timeout(limit, self.directory.fetch(ask)).await {
+        match with_timeout(limit, self.directory.read(ask)).await {
             Some(read) => {
                 if read.is_ok() {
                     self.record_answer(began.elapsed().saturating_sub(after.max_wait));
@@ -73,7 +73,7 @@
 
     async fn list(&self, kind: StateKind) -> Result<ReadOutcome, PlatformError> {
         let began = Instant::now();
-        let read = self.directory.fetch(StateQuery { kind, changes: None }).await;
+        let read = self.directory.read(StateQuery { kind, changes: None }).await;
         if read.is_ok() {
             self.record_answer(began.elapsed());
         }
--- a/crates/larkspring/src/direct/watch.rs
+++ b/crates/larkspring/src/direct/watch.rs
@@ -107,7 +107,7 @@
                 Some(after) => self.watch(after).await,
                 None => {
                     self.directory
-                        .fetch(StateQuery { kind: self.kind, changes: None })
+                        .read(StateQuery { kind: self.kind, changes: None })
                         .await
                 }
             };
@@ -171,7 +171,7 @@
             Err(PlatformError::NoEffect("watch objects", cause))
         };
         let ask = StateQuery { kind: self.kind, changes: Some(after) };
-        future::or(self.directory.fetch(ask), unavailable).await
+        future::or(self.directory.read(ask), unavailable).await
     }
 
     fn pause(&self, via: ReadSource) -> Duration {
